--- a/packages/data/src/admission.ts
+++ b/packages/data/src/admission.ts
@@ -1,10 +1,10 @@
-/** Whether an access node takes new work: it holds a lease and is not about to stop (docs/design.md §7). */
+/** Admission of new work at an access node: it needs a lease and must not be shutting down (docs/design.md §7). */
 import type { Membership } from "./membership.js";
 
-/** What a caller is told while a node takes no new work. */
+/** Reason returned to callers while the node accepts no new work. */
 export const NO_NEW_WORK = "this access node is cut off from the control group or about to stop";
 
-/** The one word on new work that all parts of an access node ask for. */
+/** Decides for all parts of an access node whether new work is accepted. */
 export class Admission {
   #membership: Membership;
   #isLeaving = false;
@@ -13,7 +13,7 @@
     this.#membership = membership;
   }
 
-  /** A planned stop: from now on no new work is taken. */
+  /** Starts a planned stop: no new work is accepted from now on. */
   leave(): void {
     this.#isLeaving = true;
   }
--- a/packages/data/src/attempts.ts
+++ b/packages/data/src/attempts.ts
@@ -1,10 +1,10 @@
-/** Attempts under way: each sends one job to one runner (docs/design.md §6.1). */
+/** The attempts of an access node: each sends one job to one runner (docs/design.md §6.1). */
 import type { RunnerCard } from "@chutewick/parts";
 import type { DrawnPrompt, Job } from "./access-jobs.js";
 import type { AccessOutput, Work } from "./access-output.js";
 import type { Membership } from "./membership.js";
 
-/** One sending of a job to a runner. */
+/** A job that was sent to a runner. */
 export interface Attempt {
   readonly job: Job;
   /** Id and incarnation of the runner. */
@@ -13,16 +13,16 @@
   readonly startedAt: number;
 }
 
-/** What an attempt begins with. */
+/** The parameters of a new attempt. */
 export interface AttemptStart {
   readonly job: Job;
   readonly runner: RunnerCard;
   readonly work: Work;
-  /** ms without a byte after which the runner's link gives up. */
+  /** Idle timeout of the connection to the runner, in ms. */
   readonly silence: number;
 }
 
-/** Why an attempt may not be sent any more. */
+/** The reason why an attempt may no longer be sent. */
 export type StartRefusal =
   | "given up"
   | "no lease"
@@ -32,7 +32,7 @@
 /** The command that sends an attempt to its runner. */
 export type RunCommand = Extract<AccessOutput, { kind: "run" }>;
 
-/** All attempts of one access node, by their numbers. */
+/** The attempts under way at one access node, by their numbers. */
 export class Attempts {
   #membership: Membership;
   #attempts = new Map<number, Attempt>();
@@ -46,7 +46,7 @@
     return this.#attempts.size;
   }
 
-  /** Number of the attempt that was started last. */
+  /** Number of the latest attempt. */
   get lastNumber(): number {
     return this.#lastNumber;
   }
@@ -70,7 +70,10 @@
     this.#attempts.delete(number);
   }
 
-  /** Asked at the last moment: no byte goes out on an old configuration, after a deregistration or on an old grant. */
+  /**
+   * Returns why an attempt may not be sent, or undefined if it may. Checked right before the first byte is sent, so that
+   * nothing is sent under an outdated configuration, after the runner's deregistration or under an expired grant.
+   */
   mayStart(number: number, now: number): StartRefusal | undefined {
     const attempt = this.#attempts.get(number);
     if (attempt === undefined) return "given up";
@@ -81,26 +84,26 @@
     return undefined;
   }
 
-  /** Seats of a runner that are taken, as it told, with what this node sent since (§8.3). */
+  /** Slots taken at a runner: the load that it reported plus the attempts that this node started since. */
   load(runner: RunnerCard, now: number): number {
-    let own = 0;
-    let since = 0;
+    let ownAttempts = 0;
+    let startedSinceReport = 0;
     for (const attempt of this.#attempts.values()) {
       if (attempt.runner !== runner.id) continue;
-      own += 1;
-      if (attempt.startedAt > now - runner.age) since += 1;
+      ownAttempts += 1;
+      if (attempt.startedAt > now - runner.age) startedSinceReport += 1;
     }
-    return Math.max(own, runner.burden + since);
+    return Math.max(ownAttempts, runner.burden + startedSinceReport);
   }
 
-  /** Prompts under way, in the order in which they were sent. */
+  /** Prompts under way, in the order in which their attempts started. */
   prompts(): DrawnPrompt[] {
     const prompts: DrawnPrompt[] = [];
     for (const { job } of this.#attempts.values()) if (job.kind === "prompt") prompts.push(job);
     return prompts;
   }
 
-  /** How many prompts are under way at each runner. */
+  /** Number of prompts under way, by runner. */
   promptsByRunner(): [runner: string, count: number][] {
     const counts = new Map<string, number>();
     for (const { job, runner } of this.#attempts.values())
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -1,135 +1,158 @@
+/**
+ * Load balancer for passages: chooses the runner that a live request or an item of a lot (a batch job) is sent to
+ * (docs/design.md §13.4). The state of the runners comes from the traffic of this node and from the loads that the access
+ * nodes exchange through their sessions.
+ */
 import { constants, type RunnerCard } from "@chutewick/parts";
 import { ChoiceCounts } from "./choice-counts.js";
 import type { FleetView } from "./fleet-view.js";
 import type { Standing } from "./membership.js";
 import type { PassRequest } from "./dialect.js";
 
-/** Which runner a work goes to (docs/design.md §13.4). Learnt from own traffic, and shared between nodes by their sessions. */
+/** The runner, with its incarnation, that an attempt is sent to. */
 export interface Chosen {
   readonly runner: string;
   readonly incarnation: number;
   readonly address: string;
 }
 
+/**
+ * How an attempt ended: `refused`: the runner did not run it; `unsent`: no byte was sent; `broken`: the connection failed
+ * before the result was whole; `left`: the caller went away.
+ */
 export type GoEnd = "done" | "refused" | "unsent" | "broken" | "failed" | "left";
 
-/** One life of a runner as this node sees it. */
-interface Sight {
+/** One incarnation of a runner, as observed by this node. */
+interface RunnerState {
   card: RunnerCard;
-  /** Of its name, by which shared parts are placed. */
+  /** Hash of the runner id, for the rendezvous hashing of shared prompt parts. */
   readonly hash: number;
-  /** Connections that this node may have to it. */
+  /** Maximum number of connections from this node. */
   connections: number;
-  /** Begun here and not ended. */
+  /** Live attempts of this node under way at the runner. */
   live: number;
+  /** Item attempts of this node under way at the runner. */
   items: number;
-  /** The same of all other nodes, as they last told. */
+  /** Live and item attempts of all other nodes, as last reported. */
   othersLive: number;
   othersItems: number;
-  /** ms of reading that was sent from here and of which no first sign of work came back yet. */
+  /** Prefill backlog in ms: prompts sent from this node that have produced no output yet. */
   reading: number;
-  /** Whether long prompts and items go here; short live ones go to the others (§13.4). */
-  forLong: boolean;
-  /** ms from the beginning to the first sign, of work that tells no tokens. */
-  usual: number;
-  /** Its first signs against what was expected: 1 is as expected, 2 twice as late. */
+  /** Whether the runner is set apart for long prompts and items; short live requests go to the others. */
+  servesLong: boolean;
+  /** Moving average of the time to first output in ms, for requests without a token count. */
+  typicalFirstOutputMs: number;
+  /** Moving average of the measured over the expected time to first output: 2 is twice as slow as expected. */
   slowness: number;
-  /** Last sign of it, or the moment when the first work of those under way began. */
+  /** Time of the last response of the runner, or of the start of the first attempt after an idle time. */
   heardAt: number;
-  /** Last event of an item after the item's first, which says nothing of how soon other work would begin. */
+  /**
+   * Time of the last output of an item that is not its first. Kept apart because it does not show that the runner starts new
+   * work promptly.
+   */
   itemHeardAt: number;
-  /** Heard of still, and has not deregistered. */
-  stands: boolean;
-  /** Passed by until then, and troubles in a row. */
-  shyUntil: number;
+  /** Still announced, and not deregistered. */
+  isAnnounced: boolean;
+  /** The runner is avoided until this time. */
+  avoidedUntil: number;
+  /** Consecutive failures, which lengthen the back-off. */
   troubles: number;
 }
 
-interface Go {
-  readonly sight: Sight;
+/** An attempt under way: one request sent to one runner. */
+interface Attempt {
+  readonly state: RunnerState;
   readonly item: boolean;
-  readonly beganAt: number;
-  /** ms of reading, where tokens are told. */
-  readonly reads: number | undefined;
+  readonly startedAt: number;
+  /** Estimated prefill time in ms; undefined without a token count. */
+  readonly prefillMs: number | undefined;
   readonly isLong: boolean;
-  /** ms to the first sign, as expected. */
+  /** Expected time to first output in ms. */
   readonly expected: number;
-  readonly shared: Shared | undefined;
-  begun: boolean;
+  readonly shared: SharedParts | undefined;
+  /** Whether the first output has arrived. */
+  hasOutput: boolean;
 }
 
-/** What is known of a request before a runner is chosen. */
+/** The properties of a request that the choice depends on. */
 interface Prompt {
-  /** tokens; undefined where none are told. */
+  /** Prompt size in tokens; undefined without a token count. */
   readonly tokens: number | undefined;
-  readonly shared: Shared | undefined;
-  /** Where its shared parts are kept, as far as all nodes can know. */
-  readonly home: Sight | undefined;
+  readonly shared: SharedParts | undefined;
+  /** The runner that rendezvous hashing assigns the shared parts to; the same at every node. */
+  readonly home: RunnerState | undefined;
   readonly isLong: boolean;
   readonly item: boolean;
 }
 
-/** How the runners of a pool are divided between short live work and the rest. */
-interface Division {
-  /** seats that short live work takes, smoothed. */
-  level: number;
-  /** works of long prompts of this node, smoothed. */
-  long: number;
-  longNow: number;
-  longAt: number;
-  /** Runners for short live work: the first so many by their hash. */
-  first: number;
+/** How the runners of a pool are split between short live requests and the rest. */
+interface PoolPartition {
+  /** Slots taken by short live requests, smoothed. */
+  shortLoad: number;
+  /** Long prompts of this node under way, smoothed. */
+  longLoad: number;
+  /** Long prompts of this node under way now. */
+  longCount: number;
+  /** Time at which a long prompt last started or ended. */
+  lastLongAt: number;
+  /** Number of runners for short live requests, the first ones by hash; infinite while the pool is not split. */
+  shortRunners: number;
+  /** Time of the last update. */
   at: number;
 }
 
-/** The parts of a prompt that others share. */
-interface Shared {
+/** The parts of a prompt that other prompts may share: all but the last. */
+interface SharedParts {
   readonly hash: number;
-  /** tokens */
+  /** Size in tokens. */
   readonly size: number;
 }
 
+/** Keeps the state of the runners and chooses among them. Times are in ms of the monotonic clock. */
 export class Choice {
   readonly counts = new ChoiceCounts();
   #fleet: FleetView;
-  #standing: Standing;
-  #go = 0;
-  #gos = new Map<number, Go>();
-  /** By runner and life. */
-  #sights = new Map<string, Sight>();
-  #pools = new Map<string, Sight[]>();
-  #addresses = new Map<string, Sight>();
-  #runners = new Map<string, Sight>();
-  /** Where shared parts were read for this node lately: by their hash, the runner and when. */
-  #readAt = new Map<number, Map<string, number>>();
-  #divisions = new Map<string, Division>();
-  #lookedAt = Number.NEGATIVE_INFINITY;
+  #node: Standing;
+  #lastAttempt = 0;
+  #attempts = new Map<number, Attempt>();
+  /** By runner and incarnation. */
+  #states = new Map<string, RunnerState>();
+  #pools = new Map<string, RunnerState[]>();
+  #addresses = new Map<string, RunnerState>();
+  #runners = new Map<string, RunnerState>();
+  /** By hash of shared parts: the runners that prefilled them for this node lately, and when. */
+  #prefilledAt = new Map<number, Map<string, number>>();
+  #partitions = new Map<string, PoolPartition>();
+  #refreshedAt = Number.NEGATIVE_INFINITY;
   #nodes = 1;
-  #chance: number;
-  #openConnections: (address: string) => number = none;
+  #randomState: number;
+  #openConnections: (address: string) => number = noConnections;
 
-  constructor(fleet: FleetView, standing: Standing) {
+  constructor(fleet: FleetView, node: Standing) {
     this.#fleet = fleet;
-    this.#standing = standing;
-    this.#chance = (hashOf(standing.identity) | 1) >>> 0;
+    this.#node = node;
+    this.#randomState = (hashOf(node.identity) | 1) >>> 0;
   }
 
-  /** @param openConnections tells how many connections to an address are open, those in use counted */
+  /** @param openConnections returns the number of open connections to an address, including those in use */
   useConnections(openConnections: (address: string) => number): void {
     this.#openConnections = openConnections;
   }
 
   get zone(): string {
-    return this.#standing.zone;
+    return this.#node.zone;
   }
 
-  /** Numbers all goes of this process. */
+  /** Returns the next attempt number of this process. */
   nextGo(): number {
-    this.#go += 1;
-    return this.#go;
+    this.#lastAttempt += 1;
+    return this.#lastAttempt;
   }
 
-  /** The runner of a pool at which a request begins soonest, none of those tried; for items only within the room that live work leaves. */
+  /**
+   * Returns the runner of a pool with the lowest expected time to first output, excluding those in `tried`. Items only get
+   * slots that live requests leave free.
+   */
   choose(
     pool: string,
     request: PassRequest,
@@ -137,26 +160,26 @@
     item: boolean,
     now: number,
   ): Chosen | undefined {
-    this.#look(now);
-    const prompt = this.#prompt(pool, request, item);
-    let best: Sight | undefined;
-    let least = Number.POSITIVE_INFINITY;
-    for (const sight of this.#pools.get(pool) ?? []) {
-      const { card } = sight;
-      if (tried.has(card.id) || !carries(card, request.model)) continue;
+    this.#refresh(now);
+    const prompt = this.#describePrompt(pool, request, item);
+    let best: RunnerState | undefined;
+    let lowestCost = Number.POSITIVE_INFINITY;
+    for (const state of this.#pools.get(pool) ?? []) {
+      const { card } = state;
+      if (tried.has(card.id) || !servesModel(card, request.model)) continue;
       if (
-        loadOf(sight, item) >=
-        card.seats * (item ? partOf(sight, this.#isDivided(pool)) : constants.seatsMost)
+        slotsTaken(state, item) >=
+        card.seats * (item ? itemSlotPart(state, this.#isPartitioned(pool)) : constants.seatsMost)
       )
         continue;
-      let price =
-        this.#expected(sight, prompt, now) * (1 + this.#random() * constants.choiceJitter);
-      if (prompt.tokens !== undefined) price += awayOf(sight, prompt);
-      if (card.zone !== this.#standing.zone) price += constants.otherZone;
-      if (now < sight.shyUntil || this.#isQuiet(sight, now)) price += constants.shyPrice;
-      if (price < least) {
-        least = price;
-        best = sight;
+      let cost =
+        this.#expectedMs(state, prompt, now) * (1 + this.#random() * constants.choiceJitter);
+      if (prompt.tokens !== undefined) cost += misplacementPenalty(state, prompt);
+      if (card.zone !== this.#node.zone) cost += constants.otherZone;
+      if (now < state.avoidedUntil || this.#isSilent(state, now)) cost += constants.shyPrice;
+      if (cost < lowestCost) {
+        lowestCost = cost;
+        best = state;
       }
     }
     if (best === undefined) this.counts.noRunner += 1;
@@ -165,335 +188,367 @@
       : { runner: best.card.id, incarnation: best.card.incarnation, address: best.card.url };
   }
 
-  #prompt(pool: string, request: PassRequest, item: boolean): Prompt {
-    const tokens = tokensOf(request);
+  #describePrompt(pool: string, request: PassRequest, item: boolean): Prompt {
+    const tokens = promptTokens(request);
     const isLong = !item && tokens !== undefined && tokens >= constants.longLeast;
-    const shared = sharedOf(request);
+    const shared = sharedPartsOf(request);
     return {
       tokens,
       shared,
-      home: shared === undefined ? undefined : homeOf(shared, this.#pools.get(pool) ?? [], isLong),
+      home:
+        shared === undefined ? undefined : homeRunner(shared, this.#pools.get(pool) ?? [], isLong),
       isLong,
       item,
     };
   }
 
-  /** ms until the first sign of work. */
-  #expected(sight: Sight, prompt: Prompt, now: number): number {
-    const { seats } = sight.card;
-    const used = this.#crowd(sight, prompt.item);
-    const over = Math.max(0, used + 1 - seats) / seats;
+  /** Expected time to first output in ms. */
+  #expectedMs(state: RunnerState, prompt: Prompt, now: number): number {
+    const { seats } = state.card;
+    const occupied = this.#estimatedLoad(state, prompt.item);
+    const excess = Math.max(0, occupied + 1 - seats) / seats;
     if (prompt.tokens === undefined)
-      return sight.usual * (1 + used / seats + over * constants.queueWeight);
+      return state.typicalFirstOutputMs * (1 + occupied / seats + excess * constants.queueWeight);
     return (
-      (this.#reads(sight, prompt, now) +
-        sight.reading +
-        used * constants.besidePrice +
-        over * constants.seatWait +
+      (this.#prefillMs(state, prompt, now) +
+        state.reading +
+        occupied * constants.besidePrice +
+        excess * constants.seatWait +
         constants.firstLeast) *
-      sight.slowness
+      state.slowness
     );
   }
 
-  /** Seats taken: what others told is some 0.5 s old, and in a rush they send as this node does. */
-  #crowd(sight: Sight, item: boolean): number {
+  /**
+   * Estimated slots taken. The loads reported by other nodes are about 0.5 s old, so during a surge the other nodes are
+   * assumed to send work in proportion to this node.
+   */
+  #estimatedLoad(state: RunnerState, item: boolean): number {
     return (
-      loadOf(sight, item) +
-      Math.max(0, sight.live * (this.#nodes - 1) * constants.alikePart - sight.othersLive)
+      slotsTaken(state, item) +
+      Math.max(0, state.live * (this.#nodes - 1) * constants.alikePart - state.othersLive)
     );
   }
 
-  /** ms that a runner reads a prompt for: what it does not keep, each token against all before it. */
-  #reads(sight: Sight, { tokens, shared, home }: Prompt, now: number): number {
-    const all = tokens ?? 0;
-    const kept =
-      shared !== undefined && (home === sight || this.#wasRead(shared, sight, now))
-        ? Math.min(shared.size, all)
+  /**
+   * Prefill time in ms: a linear part for the tokens that the runner has not cached, and a quadratic part because each of
+   * them attends to all tokens before it.
+   */
+  #prefillMs(state: RunnerState, { tokens, shared, home }: Prompt, now: number): number {
+    const promptSize = tokens ?? 0;
+    const cachedSize =
+      shared !== undefined && (home === state || this.#wasPrefilled(shared, state, now))
+        ? Math.min(shared.size, promptSize)
         : 0;
-    const unread = all - kept;
-    return unread / constants.tokensRead + (unread * (all - unread / 2)) / constants.pairsRead;
+    const uncachedSize = promptSize - cachedSize;
+    return (
+      uncachedSize / constants.tokensRead +
+      (uncachedSize * (promptSize - uncachedSize / 2)) / constants.pairsRead
+    );
   }
 
-  #wasRead(shared: Shared, sight: Sight, now: number): boolean {
-    const at = this.#readAt.get(shared.hash)?.get(sight.card.id);
+  #wasPrefilled(shared: SharedParts, state: RunnerState, now: number): boolean {
+    const at = this.#prefilledAt.get(shared.hash)?.get(state.card.id);
     return at !== undefined && now - at < constants.partsKept;
   }
 
-  /** Work is there, and nothing is heard of it for longer than its reading takes. */
-  #isQuiet(sight: Sight, now: number): boolean {
+  /** Whether work is under way but the runner has sent nothing for longer than the prefill should take. */
+  #isSilent(state: RunnerState, now: number): boolean {
     return (
-      sight.live + sight.items > 0 &&
-      now - sight.heardAt >
-        sight.reading +
-          (sight.card.models.length > 0 ? constants.quietReading : constants.quietLeast)
+      state.live + state.items > 0 &&
+      now - state.heardAt >
+        state.reading +
+          (state.card.models.length > 0 ? constants.quietReading : constants.quietLeast)
     );
   }
 
-  /** Whether the runner of a go gives no sign at all, on any work of this node. */
-  isQuiet(go: number, now: number): boolean {
-    const found = this.#gos.get(go);
-    return found !== undefined && this.#isQuiet(found.sight, now);
+  /** Whether the runner of an attempt has stopped responding to all work of this node. */
+  isQuiet(attemptNumber: number, now: number): boolean {
+    const attempt = this.#attempts.get(attemptNumber);
+    return attempt !== undefined && this.#isSilent(attempt.state, now);
   }
 
-  /** The same, where events of items on their way count as signs, too. */
-  isDark(go: number, now: number): boolean {
-    const found = this.#gos.get(go);
-    if (found === undefined || !this.#isQuiet(found.sight, now)) return false;
-    return now - found.sight.itemHeardAt > constants.quietReading;
+  /** Like `isQuiet`, but later events of items count as responses, too. */
+  isDark(attemptNumber: number, now: number): boolean {
+    const attempt = this.#attempts.get(attemptNumber);
+    if (attempt === undefined || !this.#isSilent(attempt.state, now)) return false;
+    return now - attempt.state.itemHeardAt > constants.quietReading;
   }
 
-  /** Whether any runner of a pool is heard of. */
+  /** Whether any runner of a pool is announced. */
   knows(pool: string, now: number): boolean {
-    this.#look(now);
+    this.#refresh(now);
     return this.#pools.has(pool);
   }
 
-  /** Whether a life of a runner is heard of still. */
+  /** Whether this incarnation of a runner is still announced and not deregistered. */
   stands(chosen: Chosen, now: number): boolean {
-    this.#look(now);
-    return this.#sights.get(keyOf(chosen.runner, chosen.incarnation))?.stands === true;
+    this.#refresh(now);
+    return (
+      this.#states.get(incarnationKey(chosen.runner, chosen.incarnation))?.isAnnounced === true
+    );
   }
 
-  /** Connections that this node may have to the runner at an address: what its pool allows, shared by all access nodes. */
+  /** Maximum number of connections to the runner at an address: this node's part of the limit of the pool. */
   share(address: string): number {
     return this.#addresses.get(address)?.connections ?? constants.connectionsUntold;
   }
 
-  /** Of what a pool allows one runner, the part of this node. */
-  #shareOf(pool: string): number {
-    const most = this.#fleet.configuration.value.pools?.[pool]?.connections ?? 0;
-    return most === 0
+  /** This node's part of the connections that a pool allows to one runner. */
+  #connectionLimit(pool: string): number {
+    const poolLimit = this.#fleet.configuration.value.pools?.[pool]?.connections ?? 0;
+    return poolLimit === 0
       ? constants.connectionsUntold
-      : Math.max(1, Math.floor((most * constants.connectionsPart) / this.#nodes));
-  }
-
-  /** A go begins at a runner, gives a first sign of work, and ends. */
-  begin(go: number, runner: string, request: PassRequest, item: boolean, now: number): void {
-    const sight = this.#runners.get(runner);
-    if (sight === undefined) return;
-    const prompt = this.#prompt(sight.card.pool!, request, item);
-    const expected = this.#expected(sight, prompt, now);
-    this.#count(sight, prompt, now);
-    if (sight.live + sight.items === 0) sight.heardAt = now;
-    if (item) sight.items += 1;
-    else sight.live += 1;
-    const reads = prompt.tokens === undefined ? undefined : this.#reads(sight, prompt, now);
-    sight.reading += reads ?? 0;
-    this.#gos.set(go, {
-      sight,
+      : Math.max(1, Math.floor((poolLimit * constants.connectionsPart) / this.#nodes));
+  }
+
+  /** Records that an attempt starts at a runner. */
+  begin(
+    attemptNumber: number,
+    runner: string,
+    request: PassRequest,
+    item: boolean,
+    now: number,
+  ): void {
+    const state = this.#runners.get(runner);
+    if (state === undefined) return;
+    const prompt = this.#describePrompt(state.card.pool!, request, item);
+    const expected = this.#expectedMs(state, prompt, now);
+    this.#countChoice(state, prompt, now);
+    if (state.live + state.items === 0) state.heardAt = now;
+    if (item) state.items += 1;
+    else state.live += 1;
+    const prefillMs = prompt.tokens === undefined ? undefined : this.#prefillMs(state, prompt, now);
+    state.reading += prefillMs ?? 0;
+    this.#attempts.set(attemptNumber, {
+      state,
       item,
-      beganAt: now,
-      reads,
+      startedAt: now,
+      prefillMs,
       isLong: prompt.isLong,
       expected,
       shared: prompt.shared,
-      begun: false,
+      hasOutput: false,
     });
-    if (prompt.isLong) this.#long(sight.card.pool!, 1, now);
+    if (prompt.isLong) this.#countLongPrompt(state.card.pool!, 1, now);
   }
 
-  #count(sight: Sight, { tokens, shared, home }: Prompt, now: number): void {
+  #countChoice(state: RunnerState, { tokens, shared, home }: Prompt, now: number): void {
     const { counts } = this;
-    if (shared !== undefined && home === sight) counts.sharedAtHome += 1;
-    else if (shared !== undefined && this.#wasRead(shared, sight, now))
+    if (shared !== undefined && home === state) counts.sharedAtHome += 1;
+    else if (shared !== undefined && this.#wasPrefilled(shared, state, now))
       counts.sharedReadLately += 1;
     else if (shared !== undefined) {
       counts.sharedUnread += 1;
       counts.sharedTokensUnread += Math.min(shared.size, tokens ?? 0);
     }
-    const used = sight.live + sight.items;
-    if (used >= sight.connections) counts.connectionAwaited += 1;
-    else if (used < this.#openConnections(sight.card.url)) counts.connectionOpen += 1;
+    const occupied = state.live + state.items;
+    if (occupied >= state.connections) counts.connectionAwaited += 1;
+    else if (occupied < this.#openConnections(state.card.url)) counts.connectionOpen += 1;
     else counts.connectionNew += 1;
   }
 
-  /** Any sign of a go's work. */
-  sign(number: number, now: number): void {
-    const go = this.#gos.get(number);
-    if (go !== undefined) go.sight.heardAt = now;
-  }
-
-  /** An event of an item after its first. */
-  itemSign(number: number, now: number): void {
-    const go = this.#gos.get(number);
-    if (go !== undefined) go.sight.itemHeardAt = now;
-  }
-
-  first(number: number, now: number): void {
-    const go = this.#gos.get(number);
-    if (go === undefined || go.begun) return;
-    go.begun = true;
-    const { sight } = go;
-    sight.heardAt = now;
-    sight.troubles = 0;
-    sight.reading -= go.reads ?? 0;
-    const took = now - go.beganAt;
-    if (!go.item) this.#countFirstSign(go.expected, took);
-    if (go.reads === undefined) sight.usual += (took - sight.usual) * constants.learnPart;
-    else if (!go.item)
-      sight.slowness +=
-        (between(
-          ((took + constants.firstLeast) / (go.expected + constants.firstLeast)) * sight.slowness,
+  /** Records that the runner of an attempt sent something. */
+  sign(attemptNumber: number, now: number): void {
+    const attempt = this.#attempts.get(attemptNumber);
+    if (attempt !== undefined) attempt.state.heardAt = now;
+  }
+
+  /** Records an event of an item that is not its first. */
+  itemSign(attemptNumber: number, now: number): void {
+    const attempt = this.#attempts.get(attemptNumber);
+    if (attempt !== undefined) attempt.state.itemHeardAt = now;
+  }
+
+  /** Records the first output of an attempt and updates the estimates of the runner's speed. */
+  first(attemptNumber: number, now: number): void {
+    const attempt = this.#attempts.get(attemptNumber);
+    if (attempt === undefined || attempt.hasOutput) return;
+    attempt.hasOutput = true;
+    const { state } = attempt;
+    state.heardAt = now;
+    state.troubles = 0;
+    state.reading -= attempt.prefillMs ?? 0;
+    const elapsed = now - attempt.startedAt;
+    if (!attempt.item) this.#countFirstSign(attempt.expected, elapsed);
+    if (attempt.prefillMs === undefined)
+      state.typicalFirstOutputMs += (elapsed - state.typicalFirstOutputMs) * constants.learnPart;
+    else if (!attempt.item)
+      state.slowness +=
+        (clamp(
+          ((elapsed + constants.firstLeast) / (attempt.expected + constants.firstLeast)) *
+            state.slowness,
           0.5,
           4,
         ) -
-          sight.slowness) *
+          state.slowness) *
         constants.learnPart;
-    if (go.shared !== undefined) this.#remember(go.shared, sight.card.id, now);
+    if (attempt.shared !== undefined) this.#rememberPrefill(attempt.shared, state.card.id, now);
   }
 
-  #countFirstSign(expected: number, took: number): void {
+  #countFirstSign(expected: number, elapsed: number): void {
     this.counts.firstSigns += 1;
     this.counts.firstSignsExpected += expected;
-    this.counts.firstSignsTook += took;
-  }
-
-  #remember(shared: Shared, runner: string, now: number): void {
-    const held = this.#readAt.get(shared.hash) ?? new Map<string, number>();
-    held.set(runner, now);
-    /** Those used last stand last. */
-    this.#readAt.delete(shared.hash);
-    this.#readAt.set(shared.hash, held);
-    for (const oldest of this.#readAt.keys()) {
-      if (this.#readAt.size <= constants.partsMost) break;
-      this.#readAt.delete(oldest);
+    this.counts.firstSignsTook += elapsed;
+  }
+
+  #rememberPrefill(shared: SharedParts, runner: string, now: number): void {
+    const runners = this.#prefilledAt.get(shared.hash) ?? new Map<string, number>();
+    runners.set(runner, now);
+    // Re-insertion keeps the map in order of last use, so that the loop below evicts the least recently used.
+    this.#prefilledAt.delete(shared.hash);
+    this.#prefilledAt.set(shared.hash, runners);
+    for (const oldest of this.#prefilledAt.keys()) {
+      if (this.#prefilledAt.size <= constants.partsMost) break;
+      this.#prefilledAt.delete(oldest);
     }
   }
 
-  end(number: number, how: GoEnd, _retryAfter: number | undefined, now: number): void {
-    const go = this.#gos.get(number);
-    if (go === undefined) return;
-    this.#gos.delete(number);
-    const { sight } = go;
-    if (go.item) sight.items -= 1;
-    else sight.live -= 1;
-    if (!go.begun) sight.reading -= go.reads ?? 0;
-    if (go.isLong) this.#long(sight.card.pool!, -1, now);
-    if (how === "done" || how === "refused" || how === "failed") sight.heardAt = now;
-    if (how === "done") sight.troubles = 0;
-    if (how !== "refused" && how !== "unsent" && how !== "broken") return;
-    sight.troubles = Math.min(sight.troubles + 1, 6);
-    const least = how === "refused" ? constants.shyRefused : constants.shyBroken;
-    sight.shyUntil = now + Math.min(least * 2 ** (sight.troubles - 1), constants.shyMost);
-  }
-
-  /** Items that this node may have begun beyond those under way, on the runners of a pool. */
+  /** Records the end of an attempt; a runner that refused it or could not be reached is avoided with exponential back-off. */
+  end(attemptNumber: number, outcome: GoEnd, _retryAfter: number | undefined, now: number): void {
+    const attempt = this.#attempts.get(attemptNumber);
+    if (attempt === undefined) return;
+    this.#attempts.delete(attemptNumber);
+    const { state } = attempt;
+    if (attempt.item) state.items -= 1;
+    else state.live -= 1;
+    if (!attempt.hasOutput) state.reading -= attempt.prefillMs ?? 0;
+    if (attempt.isLong) this.#countLongPrompt(state.card.pool!, -1, now);
+    if (outcome === "done" || outcome === "refused" || outcome === "failed") state.heardAt = now;
+    if (outcome === "done") state.troubles = 0;
+    if (outcome !== "refused" && outcome !== "unsent" && outcome !== "broken") return;
+    state.troubles = Math.min(state.troubles + 1, 6);
+    const baseDelay = outcome === "refused" ? constants.shyRefused : constants.shyBroken;
+    state.avoidedUntil = now + Math.min(baseDelay * 2 ** (state.troubles - 1), constants.shyMost);
+  }
+
+  /** Number of further items that this node may start on the runners of a pool: its part of the free slots. */
   room(pool: string, now: number): number {
-    this.#look(now);
+    this.#refresh(now);
     let free = 0;
-    for (const sight of this.#pools.get(pool) ?? [])
-      if (now >= sight.shyUntil)
+    for (const state of this.#pools.get(pool) ?? [])
+      if (now >= state.avoidedUntil)
         free += Math.max(
           0,
-          sight.card.seats * partOf(sight, this.#isDivided(pool)) - loadOf(sight, true),
+          state.card.seats * itemSlotPart(state, this.#isPartitioned(pool)) -
+            slotsTaken(state, true),
         );
-    const share = free / this.#nodes;
-    return Math.floor(share) + (this.#random() < share % 1 ? 1 : 0);
+    const ownSlots = free / this.#nodes;
+    return Math.floor(ownSlots) + (this.#random() < ownSlots % 1 ? 1 : 0);
   }
 
-  /** What this node tells the others. */
+  /** The loads that this node reports to the other access nodes. */
   loads(): [runner: string, live: number, items: number][] {
-    const found: [string, number, number][] = [];
-    for (const { card, live, items } of this.#sights.values())
-      if (live > 0 || items > 0) found.push([card.id, live, items]);
-    return found;
+    const loads: [string, number, number][] = [];
+    for (const { card, live, items } of this.#states.values())
+      if (live > 0 || items > 0) loads.push([card.id, live, items]);
+    return loads;
   }
 
-  #isDivided(pool: string): boolean {
+  #isPartitioned(pool: string): boolean {
     return (
-      (this.#divisions.get(pool)?.first ?? Number.POSITIVE_INFINITY) !== Number.POSITIVE_INFINITY
+      (this.#partitions.get(pool)?.shortRunners ?? Number.POSITIVE_INFINITY) !==
+      Number.POSITIVE_INFINITY
     );
   }
 
-  #division(pool: string, now: number): Division {
-    let division = this.#divisions.get(pool);
-    if (division === undefined)
-      this.#divisions.set(
+  #partitionOf(pool: string, now: number): PoolPartition {
+    let partition = this.#partitions.get(pool);
+    if (partition === undefined)
+      this.#partitions.set(
         pool,
-        (division = {
-          level: 0,
-          long: 0,
-          longNow: 0,
-          longAt: now,
-          first: Number.POSITIVE_INFINITY,
+        (partition = {
+          shortLoad: 0,
+          longLoad: 0,
+          longCount: 0,
+          lastLongAt: now,
+          shortRunners: Number.POSITIVE_INFINITY,
           at: now,
         }),
       );
-    return division;
+    return partition;
   }
 
-  #long(pool: string, count: number, now: number): void {
-    const division = this.#division(pool, now);
-    division.longNow += count;
-    division.longAt = now;
+  /** Counts a long prompt of this node that starts (1) or ends (-1). */
+  #countLongPrompt(pool: string, count: number, now: number): void {
+    const partition = this.#partitionOf(pool, now);
+    partition.longCount += count;
+    partition.lastLongAt = now;
   }
 
-  /** As many runners for short live work as it needs, the same ones at every node; the rest for items, long prompts and what these share. */
-  #divide(pool: string, sights: Sight[], now: number): void {
-    const division = this.#division(pool, now);
-    const span = now - division.at;
-    division.at = now;
-    let used = 0;
+  /**
+   * Sets apart as many runners for short live requests as they need, the same ones at every node; the rest serve items and
+   * long prompts and cache their shared parts.
+   */
+  #repartition(pool: string, states: RunnerState[], now: number): void {
+    const partition = this.#partitionOf(pool, now);
+    const elapsed = now - partition.at;
+    partition.at = now;
+    let occupied = 0;
     let seats = 0;
-    for (const sight of sights) {
-      used += sight.live + sight.othersLive;
-      seats += sight.card.seats;
+    for (const state of states) {
+      occupied += state.live + state.othersLive;
+      seats += state.card.seats;
     }
-    division.long += (division.longNow - division.long) * Math.min(1, span / constants.longSmooth);
-    const level = Math.max(0, used - division.long * this.#nodes);
-    division.level +=
-      (level - division.level) *
-      Math.min(1, span / (level > division.level ? constants.levelUp : constants.levelDown));
-    const most = sights.length - Math.max(1, Math.ceil(sights.length * constants.longPart));
-    if (sights.length < constants.divideLeast || now - division.longAt > constants.longLasts)
-      division.first = Number.POSITIVE_INFINITY;
+    partition.longLoad +=
+      (partition.longCount - partition.longLoad) * Math.min(1, elapsed / constants.longSmooth);
+    const current = Math.max(0, occupied - partition.longLoad * this.#nodes);
+    partition.shortLoad +=
+      (current - partition.shortLoad) *
+      Math.min(
+        1,
+        elapsed / (current > partition.shortLoad ? constants.levelUp : constants.levelDown),
+      );
+    const maximum = states.length - Math.max(1, Math.ceil(states.length * constants.longPart));
+    if (states.length < constants.divideLeast || now - partition.lastLongAt > constants.longLasts)
+      partition.shortRunners = Number.POSITIVE_INFINITY;
     else {
-      const needed = division.level / (seats / sights.length) / constants.shortFill;
-      /** Only when well above or below, so that homes of shared parts seldom move, and nodes seldom differ. */
+      const needed = partition.shortLoad / (seats / states.length) / constants.shortFill;
+      // Hysteresis: a change moves the homes of shared parts, and nodes may differ on it for a while.
       if (
-        needed > division.first + constants.divideOver ||
-        needed < division.first - constants.divideUnder ||
-        division.first > most
+        needed > partition.shortRunners + constants.divideOver ||
+        needed < partition.shortRunners - constants.divideUnder ||
+        partition.shortRunners > maximum
       )
-        division.first = Math.ceil(needed);
-      division.first = between(
-        division.first,
-        Math.ceil(sights.length * constants.shortPart),
-        most,
+        partition.shortRunners = Math.ceil(needed);
+      partition.shortRunners = clamp(
+        partition.shortRunners,
+        Math.ceil(states.length * constants.shortPart),
+        maximum,
       );
     }
-    if (division.first < sights.length) sights.sort(byHash);
-    for (let index = 0; index < sights.length; index += 1)
-      sights[index]!.forLong = index >= division.first;
+    if (partition.shortRunners < states.length) states.sort(compareHashes);
+    for (let index = 0; index < states.length; index += 1)
+      states[index]!.servesLong = index >= partition.shortRunners;
   }
 
-  /** What is known of the runners is read anew a few times in a beat, not for each request. */
-  #look(now: number): void {
-    /** With thousands of runners a look costs milliseconds: then more seldom. */
-    const span = Math.min(
+  /** Refreshes the state of the runners from the fleet view, a few times per tick instead of for each request. */
+  #refresh(now: number): void {
+    // With thousands of runners a refresh takes milliseconds, so the interval grows with the fleet.
+    const interval = Math.min(
       constants.lookMost,
       constants.lookEvery * (1 + this.#runners.size / constants.lookRunners),
     );
-    if (now - this.#lookedAt < span && now >= this.#lookedAt) return;
-    this.#lookedAt = now;
+    if (now - this.#refreshedAt < interval && now >= this.#refreshedAt) return;
+    this.#refreshedAt = now;
     this.#pools = new Map();
     this.#addresses = new Map();
     this.#runners = new Map();
-    const held = this.#sights;
-    this.#sights = new Map();
-    const others = new Map<string, [live: number, items: number]>();
+    const previous = this.#states;
+    this.#states = new Map();
+    const otherLoads = new Map<string, [live: number, items: number]>();
     let nodes = 0;
     for (const { card, age } of this.#fleet.registry.nodes) {
       if (card.kind !== "access" || age > constants.sessionLasts) continue;
       if (!card.leaving) nodes += 1;
     }
     for (const [runner, live, items] of this.#fleet.registry.others ?? [])
-      others.set(runner, [live, items]);
+      otherLoads.set(runner, [live, items]);
     this.#nodes = Math.max(1, nodes);
     for (const card of this.#fleet.runners(now)) {
       if (card.pool === undefined) continue;
-      const key = keyOf(card.id, card.incarnation);
-      const sight: Sight = held.get(key) ?? {
+      const key = incarnationKey(card.id, card.incarnation);
+      const state: RunnerState = previous.get(key) ?? {
         card,
         hash: hashOf(card.id),
         connections: constants.connectionsUntold,
@@ -502,128 +557,136 @@
         othersLive: 0,
         othersItems: 0,
         reading: 0,
-        forLong: false,
-        usual: constants.usualFirst,
+        servesLong: false,
+        typicalFirstOutputMs: constants.usualFirst,
         slowness: 1,
         heardAt: now,
         itemHeardAt: Number.NEGATIVE_INFINITY,
-        stands: true,
-        shyUntil: 0,
+        isAnnounced: true,
+        avoidedUntil: 0,
         troubles: 0,
       };
-      sight.card = card;
-      sight.connections = this.#shareOf(card.pool);
-      sight.stands = true;
-      [sight.othersLive, sight.othersItems] = others.get(card.id) ?? [0, 0];
-      this.#sights.set(key, sight);
-      this.#addresses.set(card.url, sight);
-      this.#runners.set(card.id, sight);
-      const list = this.#pools.get(card.pool);
-      if (list === undefined) this.#pools.set(card.pool, [sight]);
-      else list.push(sight);
+      state.card = card;
+      state.connections = this.#connectionLimit(card.pool);
+      state.isAnnounced = true;
+      [state.othersLive, state.othersItems] = otherLoads.get(card.id) ?? [0, 0];
+      this.#states.set(key, state);
+      this.#addresses.set(card.url, state);
+      this.#runners.set(card.id, state);
+      const members = this.#pools.get(card.pool);
+      if (members === undefined) this.#pools.set(card.pool, [state]);
+      else members.push(state);
     }
-    for (const [pool, sights] of this.#pools) this.#divide(pool, sights, now);
-    /** What still runs at runners that are heard of no more. */
-    for (const [key, sight] of held) {
-      if (this.#sights.has(key)) continue;
-      sight.stands = false;
-      if (sight.live > 0 || sight.items > 0) this.#sights.set(key, sight);
+    for (const [pool, states] of this.#pools) this.#repartition(pool, states, now);
+    // Runners that are no longer announced are kept while attempts are under way there.
+    for (const [key, state] of previous) {
+      if (this.#states.has(key)) continue;
+      state.isAnnounced = false;
+      if (state.live > 0 || state.items > 0) this.#states.set(key, state);
     }
   }
 
-  /** From 0 up to 1; a small generator of its own, so that a run can be played again. */
+  /** Returns a number in [0, 1) from a xorshift generator of its own, so that a run can be reproduced. */
   #random(): number {
-    this.#chance ^= this.#chance << 13;
-    this.#chance ^= this.#chance >>> 17;
-    this.#chance ^= this.#chance << 5;
-    return (this.#chance >>> 0) / 0x1_0000_0000;
+    this.#randomState ^= this.#randomState << 13;
+    this.#randomState ^= this.#randomState >>> 17;
+    this.#randomState ^= this.#randomState << 5;
+    return (this.#randomState >>> 0) / 0x1_0000_0000;
   }
 }
 
-/** Seats that a work finds taken: an item gives way to live work, though not for nothing. */
-function loadOf(sight: Sight, item: boolean): number {
+/** Slots taken as an attempt sees them. Items yield to live requests at some cost, so a live request counts them in part. */
+function slotsTaken(state: RunnerState, item: boolean): number {
   return (
-    sight.live +
-    sight.othersLive +
-    (sight.items + sight.othersItems) * (item ? 1 : constants.itemWeight)
+    state.live +
+    state.othersLive +
+    (state.items + state.othersItems) * (item ? 1 : constants.itemWeight)
   );
 }
 
-/** Part of a runner's seats up to which items go there: less where short live work goes, which would put them back. */
-function partOf(sight: Sight, divided: boolean): number {
-  return divided && !sight.forLong ? constants.itemPartShort : constants.itemPart;
+/** Part of a runner's slots that items may fill: less at runners for short live requests, which would displace them. */
+function itemSlotPart(state: RunnerState, isPartitioned: boolean): number {
+  return isPartitioned && !state.servesLong ? constants.itemPartShort : constants.itemPart;
 }
 
-/** ms. What it costs to send work to a runner that is meant for other work. */
-function awayOf(sight: Sight, prompt: Prompt): number {
-  if (prompt.item) return sight.forLong ? 0 : constants.itemAway;
-  if (prompt.isLong === sight.forLong) return 0;
+/** Penalty in ms for sending a request to a runner that is set apart for the other kind. */
+function misplacementPenalty(state: RunnerState, prompt: Prompt): number {
+  if (prompt.item) return state.servesLong ? 0 : constants.itemAway;
+  if (prompt.isLong === state.servesLong) return 0;
   return prompt.isLong ? constants.longAway : constants.shortAway;
 }
 
-function keyOf(runner: string, incarnation: number): string {
+function incarnationKey(runner: string, incarnation: number): string {
   return `${runner} ${incarnation}`;
 }
 
-function carries(card: RunnerCard, model: string | undefined): boolean {
+function servesModel(card: RunnerCard, model: string | undefined): boolean {
   return model === undefined || card.models.length === 0 || card.models.includes(model);
 }
 
-function tokensOf(request: PassRequest): number | undefined {
+function promptTokens(request: PassRequest): number | undefined {
   if (request.tokensIn !== undefined || request.parts.length === 0) return request.tokensIn;
   let size = 0;
   for (const part of request.parts) size += part.size;
   return size;
 }
 
-function sharedOf(request: PassRequest): Shared | undefined {
+function sharedPartsOf(request: PassRequest): SharedParts | undefined {
   const { parts } = request;
   if (parts.length < 2) return undefined;
   let size = 0;
   let hash = 0;
   for (let index = 0; index < parts.length - 1; index += 1) {
     size += parts[index]!.size;
-    hash = mixed(hash ^ hashOf(parts[index]!.name));
+    hash = mixBits(hash ^ hashOf(parts[index]!.name));
   }
   return { hash, size };
 }
 
-/** The runner that keeps shared parts: the same one at every node, and few move when runners come and go. */
-function homeOf(shared: Shared, sights: readonly Sight[], isLong: boolean): Sight | undefined {
-  let home: Sight | undefined;
-  let most = -1;
-  const divided = sights.at(-1)?.forLong === true;
-  for (const sight of sights) {
-    if (divided && sight.forLong !== isLong) continue;
-    const rank = mixed(shared.hash ^ sight.hash);
-    if (rank <= most) continue;
-    most = rank;
-    home = sight;
+/**
+ * The runner that caches shared parts, by rendezvous hashing: every node computes the same one, and few parts move when
+ * runners join or leave.
+ */
+function homeRunner(
+  shared: SharedParts,
+  states: readonly RunnerState[],
+  isLong: boolean,
+): RunnerState | undefined {
+  let home: RunnerState | undefined;
+  let highestRank = -1;
+  const isPartitioned = states.at(-1)?.servesLong === true;
+  for (const state of states) {
+    if (isPartitioned && state.servesLong !== isLong) continue;
+    const rank = mixBits(shared.hash ^ state.hash);
+    if (rank <= highestRank) continue;
+    highestRank = rank;
+    home = state;
   }
   return home;
 }
 
-function byHash(one: Sight, other: Sight): number {
+function compareHashes(one: RunnerState, other: RunnerState): number {
   return one.hash - other.hash;
 }
 
-function between(value: number, least: number, most: number): number {
-  return Math.min(Math.max(value, least), most);
+function clamp(value: number, minimum: number, maximum: number): number {
+  return Math.min(Math.max(value, minimum), maximum);
 }
 
-function none(): number {
+function noConnections(): number {
   return 0;
 }
 
-/** Spread evenly over 32 bits. */
+/** A 32-bit hash of a text: FNV-1a with a final mix for an even distribution. */
 export function hashOf(text: string): number {
   let hash = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1)
     hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193);
-  return mixed(hash);
+  return mixBits(hash);
 }
 
-function mixed(value: number): number {
+/** The 32-bit finalizer of MurmurHash3. */
+function mixBits(value: number): number {
   let hash = value ^ (value >>> 16);
   hash = Math.imul(hash, 0x85ebca6b);
   hash ^= hash >>> 13;
--- a/packages/data/src/dialect.ts
+++ b/packages/data/src/dialect.ts
@@ -1,76 +1,80 @@
-/** How runners are spoken to on passages: names of headers belong to whoever deploys, not to the cores (docs/design.md §13.2). */
+/**
+ * Types of the protocol between access nodes and the runners of passages (routes on which requests are relayed unchanged).
+ * Header names are left to a protocol adapter, because they depend on the deployment (docs/design.md §13.2).
+ */
 
 import type { Tenancy } from "@chutewick/parts";
 
-/** One part of a prompt, shared with other requests where its name is the same. */
+/** One part of a prompt. Prompts that have a part of the same name share its content. */
 export interface PromptPart {
   readonly name: string;
-  /** tokens */
+  /** Size in tokens. */
   readonly size: number;
 }
 
-/** What a request on a passage says of itself, read by the interface that it came in through. */
+/** A request on a passage, as parsed by the HTTP interface that received it. */
 export interface PassRequest {
-  /** The caller's own id of this try; told to the runner unchanged. */
+  /** The caller's id of this attempt, forwarded to the runner unchanged. */
   readonly id: string;
   readonly method: string;
   readonly host: string;
-  /** Path with its query, unchanged. */
+  /** Path and query string, unchanged. */
   readonly path: string;
-  /** Names and values in turn, as they came, without those of one connection alone. */
+  /** Alternating names and values as received, without hop-by-hop headers. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** ms that the caller still waits, from the arrival; undefined where it did not say. */
+  /** Timeout of the caller in ms, counted from the arrival; undefined if it set none. */
   readonly patience: number | undefined;
   readonly model: string | undefined;
-  /** tokens of the prompt, and the most to be put out; undefined where not told. */
+  /** Prompt tokens and maximum output tokens; undefined if not given. */
   readonly tokensIn: number | undefined;
   readonly tokensOut: number | undefined;
   readonly parts: readonly PromptPart[];
-  /** The caller goes on with a stream after this event. */
+  /** The caller resumes a stream after the event with this number. */
   readonly resumeAfter: number | undefined;
-  /** What the caller presents to be known as a tenant; undefined where it presents nothing of one meaning. */
+  /** Credential that identifies the tenant; undefined if the caller presents none, or an ambiguous one. */
   readonly credential: string | undefined;
 }
 
-/** What goes to a runner. */
+/** A request to be sent to a runner. */
 export interface PassWork {
   readonly request: PassRequest;
-  /** The life of the runner that is meant; any other one refuses it. */
+  /** The runner incarnation that is addressed; any other one refuses the request. */
   readonly runner: string;
-  /** 0 goes first, 9 last, in the runner's own queue. */
+  /** Priority in the queue of the runner, from 0 (first) to 9 (last). */
   readonly rank: number;
-  /** Moment, by the monotonic clock in ms, at which the runner may cease. */
+  /** Deadline in ms of the monotonic clock, after which the runner may stop working. */
   readonly until: number;
-  /** The stream goes on after this event. */
+  /** The stream resumes after the event with this number. */
   readonly resumeAfter: number | undefined;
-  /** Whether the result is read as a series of events: `event` is told for each whole one instead of `data`. */
+  /** Whether the result is parsed as server-sent events: each complete event is reported as `event` instead of `data`. */
   readonly events: boolean;
-  /** Whether it may run more than once: then it may go out on a kept connection that might just be closing. */
+  /** Whether it may run more than once. It may then use a keep-alive connection that might just be closing. */
   readonly repeatable: boolean;
   /**
-   * Where it stands, neither the credential of the caller nor the tenant that it names itself is passed on; undefined where
-   * the configuration names no tenants: then such headers are passed on as they came.
+   * If set, neither the credential of the caller nor a tenant header that it sent is forwarded. Undefined if the configuration
+   * has no tenants; such headers are then forwarded unchanged.
    */
   readonly tenancy: Tenancy | undefined;
 }
 
-/** What the head of a runner's result says, read through the dialect. */
+/** The response head of a runner, as parsed by the protocol adapter. */
 export interface ResultHead {
-  /** The id of the request that it belongs to; undefined where it names none. */
+  /** Id of the request that it answers; undefined if the header is missing. */
   readonly id: string | undefined;
-  /** Bears the runner's stamp: without it a success is none. */
+  /** Whether it carries the stamp header of the runner; without it a success status does not count. */
   readonly stamped: boolean;
-  /** The runner states that it did not run the request and never will. */
+  /** The runner guarantees that it did not run the request and never will. */
   readonly notRun: boolean;
-  /** It is not the life of the runner that was meant. */
+  /** Another runner incarnation than the addressed one answered. */
   readonly otherRunner: boolean;
-  /** s */
+  /** Seconds. */
   readonly retryAfter: number | undefined;
 }
 
+/** Protocol adapter: maps requests to HTTP headers and response headers to a `ResultHead`. */
 export interface RunnerDialect {
-  /** Names and values of all headers of a work as it goes out at a moment (ms, monotonic). */
+  /** Returns alternating names and values of all headers of a request sent at `now` (ms, monotonic). */
   headers(work: PassWork, now: number): string[];
   read(
     status: number,
@@ -78,18 +82,18 @@
   ): ResultHead;
 }
 
-/** What the links to runners tell of one go. */
+/** An event of one attempt, reported by the connections to runners. */
 export type PassEvent =
-  /** No byte went out: it did not run. */
+  /** No byte was sent, so the request did not run. */
   | { readonly kind: "unsent"; readonly reason: string }
-  /** The runner states that it did not run it. */
+  /** The runner guarantees that it did not run the request. */
   | {
       readonly kind: "refused";
       readonly status: number;
       readonly retryAfter: number | undefined;
       readonly otherRunner: boolean;
     }
-  /** Headers are names and values in turn, without those of one connection alone. */
+  /** The response head. Headers alternate names and values, without hop-by-hop headers. */
   | {
       readonly kind: "head";
       readonly status: number;
@@ -97,24 +101,24 @@
       readonly stamped: boolean;
     }
   | { readonly kind: "data"; readonly bytes: Uint8Array }
-  /** A whole event: its number (undefined where it bears none), its data, and its bytes as they came. */
+  /** A complete server-sent event: its number (undefined if it has none), its data, and its bytes as received. */
   | {
       readonly kind: "event";
       readonly number: number | undefined;
       readonly data: string;
       readonly bytes: Uint8Array;
     }
-  /** The whole body has come, and its end as the protocol has it. */
+  /** The body is complete, including the end marker of the protocol. */
   | { readonly kind: "end" }
-  /** Bytes went out, and no whole result of this request came back: it may have run. */
+  /** Bytes were sent, but no complete result of this request came back: it may have run. */
   | { readonly kind: "broken"; readonly reason: string };
 
-/** Links to runners: connections are kept and shared by all goes of this process. */
+/** Connections to runners, kept alive and shared by all attempts of this process. */
 export interface PassLinks {
   run(go: number, address: string, work: PassWork): void;
-  /** The caller left, or the work is given up: the connection is ended, so that the runner drops it. */
+  /** Closes the connection of an attempt whose caller left or that was given up, so that the runner cancels it. */
   abandon(go: number): void;
-  /** The reader is slow: no more is read until `resume`. */
+  /** Backpressure: stops reading from the runner until `resume`. */
   pause(go: number): void;
   resume(go: number): void;
 }
--- a/packages/data/src/fleet-view.ts
+++ b/packages/data/src/fleet-view.ts
@@ -1,6 +1,6 @@
 import type { Membership } from "./membership.js";
 
-/** What the relay and the choice of a runner need to know of the fleet. */
+/** The part of the membership that the relay and the load balancer read. */
 export type FleetView = Pick<
   Membership,
   "configuration" | "registry" | "runners" | "serves" | "holds" | "isClosed"
--- a/packages/data/src/own-dialect.ts
+++ b/packages/data/src/own-dialect.ts
@@ -1,7 +1,7 @@
 import type { PassWork, ResultHead, RunnerDialect } from "./dialect.js";
 
-/** How runners of the product itself are spoken to on passages (docs/design.md §13.2). */
-const names = {
+/** Header names of the native runner protocol of passages (docs/design.md §13.2). */
+const headerNames = {
   inquiry: "chutewick-inquiry",
   runner: "chutewick-runner",
   patience: "chutewick-patience",
@@ -12,51 +12,54 @@
   resumeAfter: "last-event-id",
   tenant: "chutewick-tenant",
 } as const;
-const ours = new Set<string>([
-  names.inquiry,
-  names.runner,
-  names.patience,
-  names.rank,
-  names.resumeAfter,
-  names.tenant,
+const reservedHeaders = new Set<string>([
+  headerNames.inquiry,
+  headerNames.runner,
+  headerNames.patience,
+  headerNames.rank,
+  headerNames.resumeAfter,
+  headerNames.tenant,
 ]);
 
 function headers(work: PassWork, now: number): string[] {
-  const found = [
-    names.inquiry,
+  const outgoing = [
+    headerNames.inquiry,
     work.request.id,
-    names.runner,
+    headerNames.runner,
     work.runner,
-    names.patience,
+    headerNames.patience,
     String(Math.max(1, Math.floor(work.until - now))),
-    names.rank,
+    headerNames.rank,
     String(work.rank),
   ];
-  if (work.resumeAfter !== undefined) found.push(names.resumeAfter, String(work.resumeAfter));
+  if (work.resumeAfter !== undefined)
+    outgoing.push(headerNames.resumeAfter, String(work.resumeAfter));
   const tenant = work.tenancy?.tenant;
-  if (tenant !== undefined) found.push(names.tenant, tenant);
-  const came = work.request.headers;
-  for (let index = 0; index + 1 < came.length; index += 2)
-    if (!ours.has(came[index]!.toLowerCase())) found.push(came[index]!, came[index + 1]!);
-  return found;
+  if (tenant !== undefined) outgoing.push(headerNames.tenant, tenant);
+  const callerHeaders = work.request.headers;
+  for (let index = 0; index + 1 < callerHeaders.length; index += 2)
+    if (!reservedHeaders.has(callerHeaders[index]!.toLowerCase()))
+      outgoing.push(callerHeaders[index]!, callerHeaders[index + 1]!);
+  return outgoing;
 }
 
 function read(
   _status: number,
-  found: Readonly<Record<string, string | string[] | undefined>>,
+  received: Readonly<Record<string, string | string[] | undefined>>,
 ): ResultHead {
-  const wait = Number(found["retry-after"]);
+  const retryAfter = Number(received["retry-after"]);
   return {
-    id: one(found[names.inquiry]),
-    stamped: found[names.stamp] !== undefined,
-    notRun: one(found[names.taken]) === "no",
-    otherRunner: found[names.other] !== undefined,
-    retryAfter: wait > 0 && Number.isFinite(wait) ? wait : undefined,
+    id: firstValue(received[headerNames.inquiry]),
+    stamped: received[headerNames.stamp] !== undefined,
+    notRun: firstValue(received[headerNames.taken]) === "no",
+    otherRunner: received[headerNames.other] !== undefined,
+    retryAfter: retryAfter > 0 && Number.isFinite(retryAfter) ? retryAfter : undefined,
   };
 }
 
-function one(value: string | string[] | undefined): string | undefined {
+function firstValue(value: string | string[] | undefined): string | undefined {
   return Array.isArray(value) ? value[0] : value;
 }
 
+/** Protocol adapter for the runners of chutewick itself. */
 export const ownDialect: RunnerDialect = { headers, read };
--- a/packages/data/src/runner-selection.ts
+++ b/packages/data/src/runner-selection.ts
@@ -1,33 +1,33 @@
-/** Which runner a live request or a drawn prompt goes to (docs/design.md §8.3). */
+/** Chooses the runner that a live request or a dequeued prompt of a route is sent to (docs/design.md §8.3). */
 import { constants, season, type RunnerCard, type Selector } from "@chutewick/parts";
 import { configuration } from "@chutewick/control";
 import type { Attempts } from "./attempts.js";
 import type { Membership } from "./membership.js";
 import { weightedKey } from "./weighted-choice.js";
 
-/** Weight of a runner that looks full by one, beside 1 for one free seat. */
+/** Weight of a runner without a free slot, less with each job beyond; a runner with one free slot has weight 1. */
 const FULL_RUNNER_WEIGHT = 0.01;
-/** How much more a free seat in this node's own zone counts. */
+/** Factor for the free slots of runners in the zone of this node. */
 const OWN_ZONE_FACTOR = 1.2;
 
-/** What a runner has to offer. */
+/** The requirements that a runner has to meet. */
 export interface RunnerDemand {
   readonly kind: RunnerCard["kind"];
   readonly model: string | undefined;
   readonly adapter: string | undefined;
-  /** Labels with the values that a runner has to carry. */
+  /** Labels that the runner must have, with their values. */
   readonly labels: Readonly<Record<string, string>>;
-  /** Which runners the season of a lot chose; all of them where it is left out. */
+  /** Runner selectors of the season that a lot (a batch job) falls into; without them any runner matches. */
   readonly selectors?: readonly Selector[];
-  /** Runners that are not to be tried again. */
+  /** Ids of the runners that were tried already and are excluded. */
   readonly tried: ReadonlySet<string>;
-  /** Part of a runner's seats up to which this kind of work fills them. */
+  /** Part of a runner's slots that this kind of work may fill. */
   readonly seatPart: number;
-  /** Runners tried already though they looked full. */
+  /** Number of runners tried already although they had no free slot. */
   readonly fullRunnersTried?: number;
 }
 
-/** Chooses among the runners that this node knows. */
+/** Chooses among the runners known to this node. */
 export class RunnerSelection {
   #membership: Membership;
   #attempts: Attempts;
@@ -37,15 +37,18 @@
     this.#attempts = attempts;
   }
 
-  /** Drawn by free seats, not the freest always: nodes that see the same loads would all go to the same runner. */
+  /**
+   * Chooses at random, weighted by free slots. Always taking the runner with the most free slots would send the work of all
+   * nodes that see the same loads to the same runner.
+   */
   choose(demand: RunnerDemand, now: number): RunnerCard | undefined {
     const { identity } = this.#membership;
     let best: RunnerCard | undefined;
     let bestKey = Number.NEGATIVE_INFINITY;
     for (const card of this.#membership.runners(now)) {
-      if (!meets(card, demand)) continue;
+      if (!meetsDemand(card, demand)) continue;
       const free = card.seats * demand.seatPart - this.#attempts.load(card, now);
-      if (free <= 0 && !mayTryFull(demand)) continue;
+      if (free <= 0 && !mayTryFullRunner(demand)) continue;
       const seed = `${identity}/${this.#attempts.lastNumber}/${card.id}`;
       const key = weightedKey(seed, this.#weight(card, free));
       if (key > bestKey) {
@@ -62,15 +65,15 @@
   }
 }
 
-function meets(card: RunnerCard, demand: RunnerDemand): boolean {
+function meetsDemand(card: RunnerCard, demand: RunnerDemand): boolean {
   if (card.kind !== demand.kind || demand.tried.has(card.id)) return false;
-  if (!serves(card, demand)) return false;
-  if (!carries(card.labels, demand.labels)) return false;
+  if (!servesModel(card, demand)) return false;
+  if (!hasLabels(card.labels, demand.labels)) return false;
   return season.matches(demand.selectors ?? [], card.labels);
 }
 
-/** A runner of a model serves its adapters as well. */
-function serves({ models }: RunnerCard, { model, adapter }: RunnerDemand): boolean {
+/** Whether a runner serves the model; a runner of a model also serves the adapters of that model. */
+function servesModel({ models }: RunnerCard, { model, adapter }: RunnerDemand): boolean {
   return (
     model === undefined ||
     models.includes(configuration.queueOf(model, adapter)) ||
@@ -78,15 +81,15 @@
   );
 }
 
-/** A live request may try some that look full, last of all: loads are up to a second old. */
-function mayTryFull({ seatPart, fullRunnersTried = 0 }: RunnerDemand): boolean {
+/** A live request may try some runners without a free slot as a last resort, because reported loads are up to a second old. */
+function mayTryFullRunner({ seatPart, fullRunnersTried = 0 }: RunnerDemand): boolean {
   return seatPart >= 1 && fullRunnersTried < constants.fullTried;
 }
 
-function carries(
+function hasLabels(
   labels: Readonly<Record<string, string>>,
-  wanted: Readonly<Record<string, string>>,
+  required: Readonly<Record<string, string>>,
 ): boolean {
-  for (const [key, value] of Object.entries(wanted)) if (labels[key] !== value) return false;
+  for (const [key, value] of Object.entries(required)) if (labels[key] !== value) return false;
   return true;
 }
--- a/packages/data/src/weighted-choice.ts
+++ b/packages/data/src/weighted-choice.ts
@@ -1,15 +1,19 @@
 /**
- * Weighted random choice without a source of randomness: of several candidates the one with the
- * greatest key is chosen, with a chance in proportion to its weight (Efraimidis and Spirakis,
- * "Weighted random sampling with a reservoir", 2006). The hash of a seed takes the place of chance.
+ * Deterministic weighted choice: the candidate with the greatest key is chosen, with a probability
+ * proportional to its weight (Efraimidis and Spirakis, "Weighted random sampling with a reservoir",
+ * 2006). The hash of a seed replaces the random number.
  */
 import { duty } from "@chutewick/parts";
 
-/** Hashes have 32 bits; with one added on both sides a chance lies between 0 and 1, both excluded. */
-const HASH_RANGE = 4_294_967_297;
+/** Divisor that maps a 32-bit hash plus one into the open interval (0, 1). */
+const HASH_DIVISOR = 4_294_967_297;
 
-/** The key of a candidate; the seed names the choice and the candidate, the weight is over 0. */
+/**
+ * Returns the key of a candidate.
+ * @param seed identifies the choice and the candidate
+ * @param weight greater than 0
+ */
 export function weightedKey(seed: string, weight: number): number {
-  const chance = (duty.spread(seed) + 1) / HASH_RANGE;
-  return Math.log(chance) / weight;
+  const uniform = (duty.spread(seed) + 1) / HASH_DIVISOR;
+  return Math.log(uniform) / weight;
 }
