--- a/packages/data/src/claim-heartbeats.ts
+++ b/packages/data/src/claim-heartbeats.ts
@@ -1,20 +1,23 @@
-/** Signs of life of claims, known at a queue's owner alone and begun anew by the next (docs/design.md §5.4). */
+/**
+ * Heartbeats of claims. They are kept in memory by the owner of a queue only; a new owner starts counting anew
+ * (docs/design.md §5.4).
+ */
 import { constants, taskKey, type Chain, type Claim } from "@chutewick/parts";
 
-/** Digits of an item's number in the key of its record. */
+/** Number of digits of the item index in the key of its record. */
 const INDEX_DIGITS = 6;
 
 interface Heartbeat {
-  /** The claim that it is of. */
+  /** Attempt number of the claim. */
   readonly go: number;
   readonly at: number;
-  /** The dispatcher has taken the item up. */
+  /** Whether the dispatcher has started to work on the item. */
   readonly isTaken?: boolean;
-  /** Number of the entry with which the claim began. */
+  /** Log index of the entry that created the claim. */
   readonly place?: number;
 }
 
-/** Last sign of life of each claim of one queue, by the key of the item's record. Moments are in ms, monotonic. */
+/** Last heartbeat of each claim of one queue, by the key of the item record. Times are in ms of the monotonic clock. */
 export class ClaimHeartbeats {
   #heartbeats = new Map<string, Heartbeat>();
 
@@ -22,23 +25,23 @@
     this.#heartbeats.clear();
   }
 
-  /** A dispatcher works on an item of a lot of a route. */
+  /** Records a heartbeat for an item of a lot of a route. */
   heardItem({ lot, index, go }: Claim, now: number): void {
     const key = `item/${lot}/${String(index).padStart(INDEX_DIGITS, "0")}`;
     this.#heartbeats.set(key, { go, at: now });
   }
 
-  /** A dispatcher works on an item of a lot of a passage. */
+  /** Records a heartbeat for an item of a lot of a passage. */
   heardTask({ lot, index, go }: Claim, now: number): void {
     this.#heartbeats.set(taskKey(lot, index), { go, at: now, isTaken: true });
   }
 
-  /** A dispatcher was told of a claim, which it can take up only now. */
+  /** Records that a claim was reported to its dispatcher, which can start to work on it only now. */
   toldTask({ lot, index, go }: Claim, now: number): void {
     this.#heartbeats.set(taskKey(lot, index), { go, at: now });
   }
 
-  /** Whether a claim showed a sign of life lately; one seen for the first time begins to count now. */
+  /** Whether a claim had a heartbeat recently; for a claim not seen before the time starts now. */
   isAlive(key: string, go: number, now: number): boolean {
     const heartbeat = this.#heartbeats.get(key);
     if (heartbeat === undefined || heartbeat.go !== go) {
@@ -48,21 +51,22 @@
     return now - heartbeat.at <= constants.orphanAfter;
   }
 
-  /** The same for an item of a passage, whose dispatcher is to take it up at once. */
+  /** Like `isAlive`, for an item of a passage, whose dispatcher has to start on it at once. */
   isTaskAlive(key: string, go: number, { place, confirmed }: Chain, now: number): boolean {
     const heartbeat = this.#heartbeats.get(key);
     if (heartbeat === undefined || heartbeat.go !== go) {
       this.#heartbeats.set(key, { go, at: now, place });
       return true;
     }
-    /** What is not confirmed was not told yet. */
+    // A claim that is not committed yet has not been reported to its dispatcher, so its time starts anew.
     if (heartbeat.place !== undefined && confirmed < heartbeat.place)
       this.#heartbeats.set(key, { ...heartbeat, at: now });
-    const lasts = heartbeat.isTaken === true ? constants.taskOrphanAfter : constants.claimTakenUp;
-    return now - heartbeat.at <= lasts;
+    const timeoutMs =
+      heartbeat.isTaken === true ? constants.taskOrphanAfter : constants.claimTakenUp;
+    return now - heartbeat.at <= timeoutMs;
   }
 
-  /** Forgets the claims of items that are not under way any more. */
+  /** Removes the claims of items that are no longer under way. */
   forgetAllBut(...underWay: readonly { has(key: string): boolean }[]): void {
     for (const key of this.#heartbeats.keys())
       if (!underWay.some((items) => items.has(key))) this.#heartbeats.delete(key);
--- a/packages/data/src/events.ts
+++ b/packages/data/src/events.ts
@@ -1,9 +1,9 @@
-/** Server-sent events, cut out of the bytes of a body as they come (docs/design.md §13.6). */
-const lineFeed = 10;
-const carriageReturn = 13;
-const nothing = Buffer.alloc(0);
+/** Incremental parser for server-sent events in a response body (docs/design.md §13.6). */
+const LINE_FEED = 10;
+const CARRIAGE_RETURN = 13;
+const EMPTY_BUFFER = Buffer.alloc(0);
 
-/** A whole event: its bytes as they came; what it says is read only when asked for. */
+/** A complete server-sent event. Keeps the bytes as received; the fields are parsed on access. */
 export class WholeEvent {
   readonly kind = "event";
   readonly bytes: Uint8Array;
@@ -13,7 +13,7 @@
     this.bytes = bytes;
   }
 
-  get #rows(): string[] {
+  get #lines(): string[] {
     this.#text ??= Buffer.from(
       this.bytes.buffer,
       this.bytes.byteOffset,
@@ -22,60 +22,68 @@
     return this.#text.split(/\r\n|\n|\r/);
   }
 
+  /** The `id` field as a number; undefined if missing or not a number. */
   get number(): number | undefined {
-    let found: number | undefined;
-    for (const row of this.#rows) {
-      const value = valueOf(row, "id");
-      if (value !== undefined) found = /^\d{1,15}$/.test(value) ? Number(value) : undefined;
+    let id: number | undefined;
+    for (const line of this.#lines) {
+      const value = fieldValue(line, "id");
+      if (value !== undefined) id = /^\d{1,15}$/.test(value) ? Number(value) : undefined;
     }
-    return found;
+    return id;
   }
 
+  /** The `data` fields, joined by line feeds. */
   get data(): string {
-    const parts: string[] = [];
-    for (const row of this.#rows) {
-      const value = valueOf(row, "data");
-      if (value !== undefined) parts.push(value);
+    const values: string[] = [];
+    for (const line of this.#lines) {
+      const value = fieldValue(line, "data");
+      if (value !== undefined) values.push(value);
     }
-    return parts.join("\n");
+    return values.join("\n");
   }
 }
 
-function valueOf(row: string, field: string): string | undefined {
-  if (!row.startsWith(field)) return undefined;
-  if (row.length === field.length) return "";
-  if (row[field.length] !== ":") return undefined;
-  return row[field.length + 1] === " " ? row.slice(field.length + 2) : row.slice(field.length + 1);
+/** Returns the value of a line if it holds the given field. */
+function fieldValue(line: string, field: string): string | undefined {
+  if (!line.startsWith(field)) return undefined;
+  if (line.length === field.length) return "";
+  if (line[field.length] !== ":") return undefined;
+  return line[field.length + 1] === " "
+    ? line.slice(field.length + 2)
+    : line.slice(field.length + 1);
 }
 
+/** Splits the chunks of a body into complete events and buffers the rest. */
 export class EventReader {
-  #held: Buffer = nothing;
+  #buffered: Buffer = EMPTY_BUFFER;
 
-  /** Bytes of an event that has not ended yet; blank lines alone are none. */
+  /** Whether an incomplete event is buffered; blank lines alone do not count. */
   get open(): boolean {
-    for (const byte of this.#held) if (byte !== lineFeed && byte !== carriageReturn) return true;
+    for (const byte of this.#buffered)
+      if (byte !== LINE_FEED && byte !== CARRIAGE_RETURN) return true;
     return false;
   }
 
+  /** Adds a chunk and returns the events that are complete now. */
   take(chunk: Buffer): WholeEvent[] {
-    const found: WholeEvent[] = [];
-    let rest = this.#held.length === 0 ? chunk : Buffer.concat([this.#held, chunk]);
+    const events: WholeEvent[] = [];
+    let rest = this.#buffered.length === 0 ? chunk : Buffer.concat([this.#buffered, chunk]);
     for (;;) {
-      const end = endOf(rest);
+      const end = endOfFirstEvent(rest);
       if (end < 0) break;
-      found.push(new WholeEvent(rest.subarray(0, end)));
+      events.push(new WholeEvent(rest.subarray(0, end)));
       rest = rest.subarray(end);
     }
-    this.#held = rest;
-    return found;
+    this.#buffered = rest;
+    return events;
   }
 }
 
-/** Where the first event ends: behind the blank line that closes it. */
-function endOf(bytes: Buffer): number {
-  const plain = bytes.indexOf("\n\n");
-  const end = plain < 0 ? -1 : plain + 2;
-  if (!bytes.includes(carriageReturn)) return end;
-  const wide = bytes.indexOf("\r\n\r\n");
-  return wide >= 0 && (end < 0 || wide + 4 < end) ? wide + 4 : end;
+/** Returns the offset after the blank line that ends the first event, or -1. */
+function endOfFirstEvent(bytes: Buffer): number {
+  const lfEnd = bytes.indexOf("\n\n");
+  const end = lfEnd < 0 ? -1 : lfEnd + 2;
+  if (!bytes.includes(CARRIAGE_RETURN)) return end;
+  const crlfEnd = bytes.indexOf("\r\n\r\n");
+  return crlfEnd >= 0 && (end < 0 || crlfEnd + 4 < end) ? crlfEnd + 4 : end;
 }
--- a/packages/data/src/heartbeat-interval.ts
+++ b/packages/data/src/heartbeat-interval.ts
@@ -1,11 +1,12 @@
-/** How often a node sends its heartbeats to control (docs/design.md §4.2). */
+/** Interval of the heartbeats that a node sends to the control group (docs/design.md §4.2). */
 import { constants } from "@chutewick/parts";
 
 /**
- * ms between two heartbeats of a node in a fleet of so many nodes. What the heartbeats of all nodes cost a control machine grows
- * with their number, so large fleets send them more seldom; a lease still outlives three of them.
+ * Returns the heartbeat interval in ms for a fleet with the given number of nodes. The load of the heartbeats on a control
+ * machine grows with the number of nodes, so nodes of a large fleet send them less often; a lease still lasts longer than
+ * three intervals.
  */
 export function heartbeatInterval(nodes: number): number {
-  const stretched = (constants.sessionEvery * nodes) / constants.sessionNodes;
-  return Math.min(Math.max(stretched, constants.sessionEvery), constants.sessionEveryMost);
+  const scaledInterval = (constants.sessionEvery * nodes) / constants.sessionNodes;
+  return Math.min(Math.max(scaledInterval, constants.sessionEvery), constants.sessionEveryMost);
 }
--- a/packages/data/src/pass.ts
+++ b/packages/data/src/pass.ts
@@ -1,7 +1,8 @@
+/** Types of the passages: relayed live requests, and lots (batch jobs) of items (docs/design.md §13). */
 import type { PassEntry } from "@chutewick/parts";
 import type { PassWork } from "./dialect.js";
 
-/** What passages tell the shell of an access node (docs/design.md §13). */
+/** Commands and replies of the passages, carried out by the I/O layer of an access node. */
 export type PassOutput =
   | {
       readonly kind: "pass-run";
@@ -12,7 +13,7 @@
   | { readonly kind: "pass-abandon"; readonly go: number }
   | { readonly kind: "pass-pause"; readonly go: number }
   | { readonly kind: "pass-resume"; readonly go: number }
-  /** The runner's own result, byte for byte. */
+  /** The response head of the runner, forwarded unchanged. */
   | {
       readonly kind: "pass-head";
       readonly ticket: string;
@@ -21,9 +22,9 @@
     }
   | { readonly kind: "pass-bytes"; readonly ticket: string; readonly bytes: Uint8Array }
   | { readonly kind: "pass-end"; readonly ticket: string }
-  /** The result breaks off and must not look whole. */
+  /** The response is aborted; the caller must be able to tell that it is incomplete. */
   | { readonly kind: "pass-cut"; readonly ticket: string }
-  /** Our own final word; 429, 503 and 408 promise that it did not run and never will. retryAfter in s. */
+  /** The final reply of the access node itself; 408, 429 and 503 guarantee that the request never runs. retryAfter in seconds. */
   | {
       readonly kind: "pass-refused";
       readonly ticket: string;
@@ -33,64 +34,72 @@
     }
   | { readonly kind: "lot-told"; readonly ticket: string; readonly told: LotTold };
 
-/** One item of a lot as it was handed in: what the queue keeps of it. */
+/** One item of a submitted lot, as the queue stores it. */
 export type LotEntry = PassEntry;
 
+/** A submitted lot. */
 export interface LotHandedIn {
   readonly lot: string;
   readonly host: string;
   readonly path: string;
   readonly entries: readonly LotEntry[];
-  /** As with a request. */
+  /** See `PassRequest.credential`. */
   readonly credential: string | undefined;
 }
 
-/** What a call on a lot that was handed in says of itself. */
+/** A call that concerns a submitted lot. */
 export interface LotCall {
   readonly lot: string;
   readonly host: string;
-  /** As with a request. */
+  /** See `PassRequest.credential`. */
   readonly credential: string | undefined;
 }
 
-/** Which results are read: from which position on, and for how many ms the answer may wait for one there. */
+/** A read of the results of a lot. */
 export interface LotReading {
+  /** Position of the first result. */
   readonly from: number;
+  /** Long-poll timeout in ms: how long the reply may wait for a result at that position. */
   readonly hold: number;
 }
 
+/** The result of one item. */
 export interface LotResult {
   readonly item: string;
   readonly state: "solved" | "failed";
-  /** Data of all events in order, with line feeds between. */
+  /** Data of all events in order, joined by line feeds. */
   readonly text: string;
 }
 
+/** The reply to a call on a lot. */
 export type LotTold =
-  /** From here on the whole lot is ours to keep. */
+  /** The lot is accepted as a whole and stored durably. */
   | { readonly kind: "taken" }
-  /** No part of it runs. `room`: it does not fit now; else nobody can take it now. retryAfter in s. */
+  /** The lot is rejected and no item runs. `room`: no free capacity; otherwise no owner is available. retryAfter in seconds. */
   | {
       readonly kind: "refused";
       readonly room: boolean;
       readonly retryAfter: number | undefined;
       readonly reason: string;
     }
+  /** Results from a position on; `next` is the position to continue from. */
   | {
       readonly kind: "results";
       readonly total: number;
       readonly results: readonly LotResult[];
       readonly next: number;
     }
+  /** The submitted body of an item. */
   | { readonly kind: "body"; readonly bytes: Uint8Array }
   | { readonly kind: "ended" }
-  /** No tenant holds the credential. */
+  /** The credential belongs to no tenant. */
   | { readonly kind: "unauthorized" }
-  /** There surely is no such lot, or no such item. */
+  /** The lot or the item certainly does not exist. */
   | { readonly kind: "missing" }
-  /** It cannot be said now. */
+  /** The state is unknown for now; retryAfter in seconds. */
   | { readonly kind: "later"; readonly retryAfter: number };
 
+/** Whether an output of an access node belongs to the passages. */
 export function isPassing(output: { readonly kind: string }): output is PassOutput {
   return output.kind.startsWith("pass-") || output.kind === "lot-told";
 }
--- a/packages/data/src/queue-governance.ts
+++ b/packages/data/src/queue-governance.ts
@@ -1,53 +1,66 @@
-/** What the configuration that an owner knows says of a command, before it enters the queue (docs/design.md §7, §8.4). */
+/**
+ * Applies the configuration that the owner of a queue knows to a command before it is proposed to the queue's log
+ * (docs/design.md §7, §8.4).
+ */
 import { constants, type QueueCommand } from "@chutewick/parts";
 import { configuration, type Configuration } from "@chutewick/control";
 import type { QueueRefusals } from "./queue-refusals.js";
 
-/** What a command is judged by. */
+/** The state of a queue that a command is checked against. */
 export interface GovernedQueue {
   readonly queue: string;
   readonly configuration: Configuration;
-  /** Whether the queue was assigned a share of waiting work. */
+  /** Whether the queue was assigned a share of the quota for waiting work. */
   readonly hasShare: boolean;
   readonly refusals: QueueRefusals;
 }
 
-/** The command as it is to be entered, or why it is not taken. */
+/** The command to be appended to the log, or the reason for its refusal. */
 export type GovernedCommand =
   | { readonly kind: "entered"; readonly command: QueueCommand }
   | { readonly kind: "refused"; readonly reason: string };
 
 type Admit = Extract<QueueCommand, { kind: "admit" }>;
-type HandIn = Extract<QueueCommand, { kind: "hand-in" }>;
+type LotSubmission = Extract<QueueCommand, { kind: "hand-in" }>;
 
-/** Whether a configuration or a season governs a command, so that it needs a lease; records and cancels never wait for one (§7). */
+/**
+ * Whether a command depends on the configuration or a season, so that the owner needs a lease for it. Results and cancellations
+ * never wait for a lease.
+ */
 export function isGoverned({ kind }: QueueCommand): boolean {
   return kind === "admit" || kind === "pop" || kind === "hand-in" || kind === "draw";
 }
 
-/** Applies the owner's configuration to a command. */
+/** Applies the configuration of the owner to a command. */
 export function governed(
   command: QueueCommand,
   queue: GovernedQueue,
   now: number,
 ): GovernedCommand {
-  if (command.kind === "admit") return admitted(command, queue);
-  if (command.kind === "hand-in") return handedIn(command, queue, now);
+  if (command.kind === "admit") return applyToAdmission(command, queue);
+  if (command.kind === "hand-in") return applyToSubmission(command, queue, now);
   return { kind: "entered", command };
 }
 
-/** A lot brings labels of its own and of its route; those of model and adapter are the configuration's. */
-function admitted(command: Admit, governedQueue: GovernedQueue): GovernedCommand {
-  const plans = configuration.queues(governedQueue.configuration);
-  const plan = plans.find(({ queue }) => queue === governedQueue.queue);
-  if (plan === undefined) return refused("the configuration has no such queue");
-  if (!governedQueue.hasShare) return refused("the queue has no share of waiting work yet");
-  const labels = { ...command.labels, ...plan.labels };
-  return { kind: "entered", command: { ...command, allowance: plan.waiting, labels } };
+/** A lot has labels of its own and of its route; the labels of its model and adapter come from the configuration. */
+function applyToAdmission(command: Admit, context: GovernedQueue): GovernedCommand {
+  const queuePlans = configuration.queues(context.configuration);
+  const queuePlan = queuePlans.find(({ queue }) => queue === context.queue);
+  if (queuePlan === undefined) return refused("the configuration has no such queue");
+  if (!context.hasShare) return refused("the queue has no share of waiting work yet");
+  const labels = { ...command.labels, ...queuePlan.labels };
+  return { kind: "entered", command: { ...command, allowance: queuePlan.waiting, labels } };
 }
 
-/** What the owner's configuration says binds, with an equal part of the allowance for each queue that lots of it may fall into. */
-function handedIn(command: HandIn, queue: GovernedQueue, now: number): GovernedCommand {
+/**
+ * The limits in the configuration of the owner take precedence over those of the command. Each queue that lots of the passage
+ * may be assigned to gets an equal part of the allowance.
+ */
+function applyToSubmission(
+  command: LotSubmission,
+  queue: GovernedQueue,
+  now: number,
+): GovernedCommand {
   const { passages } = queue.configuration;
   const passage = Object.hasOwn(passages, command.way) ? passages[command.way] : undefined;
   if (passage === undefined || passage.kind !== "lot")
--- a/packages/data/src/queue-messages.ts
+++ b/packages/data/src/queue-messages.ts
@@ -2,9 +2,9 @@
 import type { ControlMessage } from "@chutewick/control";
 import type { Claim, QueueCommand, QueueResult } from "@chutewick/parts";
 
-/** A request to a queue's owner, its result, and what is said beside them. */
+/** Requests to the owner of a queue, their results, and messages without a reply. */
 export type QueueMessage =
-  /** hold in ms: a read of results where there is none yet, or a draw where nothing waits, is kept at the owner so long (§13.7). */
+  /** hold: long-poll timeout in ms, for a read of results or a dequeue that finds nothing. */
   | {
       readonly kind: "queue-inquiry";
       readonly ticket: string;
@@ -12,28 +12,30 @@
       readonly command: QueueCommand;
       readonly hold?: number;
     }
-  /** held in ms: how long the owner kept the request before it began to work on it. */
+  /** held: time in ms that the owner held the request before it processed it. */
   | {
       readonly kind: "queue-result";
       readonly ticket: string;
       readonly outcome: QueueOutcome;
       readonly held?: number;
     }
-  /** Task heartbeat: claims that are still worked on. */
+  /** Heartbeat of claims that are still being worked on: items of routes, and tasks (items) of passages. */
   | {
       readonly kind: "life";
       readonly queue: string;
       readonly items: readonly Claim[];
       readonly tasks?: readonly Claim[];
     }
-  /** What is under way of this lot is dropped. */
+  /** The lot has ended; its attempts under way are cancelled. */
   | { readonly kind: "lot-ended"; readonly lot: string };
 
-/** How a request to a queue's owner ended. */
+/** The outcome of a request to the owner of a queue. */
 export type QueueOutcome =
+  /** Committed. */
   | { readonly kind: "confirmed"; readonly value: QueueResult }
-  /** Surely not taken here. */
+  /** Certainly not accepted by this machine; another one may own the queue. */
   | { readonly kind: "elsewhere"; readonly reason: string }
+  /** It may have been accepted or not. */
   | { readonly kind: "unknown" };
 
 /** Every message that a node of the data plane may receive. */
--- a/packages/data/src/queue-refusals.ts
+++ b/packages/data/src/queue-refusals.ts
@@ -1,4 +1,4 @@
-/** What an owner refused lately for want of room, and how fast room comes (docs/design.md §8.4, §13.7). */
+/** Recent refusals of a queue owner for lack of capacity, and the rate at which capacity is freed (docs/design.md §8.4, §13.7). */
 import { constants, type QueueResult } from "@chutewick/parts";
 
 interface RefusedItems {
@@ -14,37 +14,37 @@
 
 type NoRoom = Extract<QueueResult, { kind: "NO_ROOM" }>;
 
-/** Refusals of one queue. Moments are in ms, monotonic. */
+/** Recent refusals of one queue. Times are in ms of the monotonic clock. */
 export class QueueRefusals {
   #refusedItems: RefusedItems[] = [];
   #freedTokens: FreedTokens[] = [];
-  /** When lots were refused first, of those that may come again. */
+  /** Time of the first refusal of each lot that may be submitted again. */
   #firstRefusedAt = new Map<string, number>();
 
-  /** Items of a season were refused. */
+  /** Records that items of a season were refused. */
   addItems(count: number, season: string, now: number): void {
     const since = now - constants.pressureLasts;
     this.#refusedItems = this.#refusedItems.filter(({ at }) => at >= since);
     this.#refusedItems.push({ at: now, count, season });
   }
 
-  /** Adds the items refused lately to the needs of their seasons. */
+  /** Adds the recently refused items to the demand of their seasons. */
   addNeeds(needs: Map<string, number>, now: number): void {
     for (const { at, count, season } of this.#refusedItems)
       if (now - at <= constants.pressureLasts) needs.set(season, (needs.get(season) ?? 0) + count);
   }
 
-  /** Tokens left the queue. */
+  /** Records that tokens were removed from the queue. */
   addFreed(tokens: number, now: number): void {
     this.#freedTokens.push({ at: now, tokens });
   }
 
-  /** When a lot was refused first; undefined where it was not, or that is long ago. */
+  /** Time of the first refusal of a lot; undefined if it was not refused, or if the record was evicted. */
   firstRefusedAt(lot: string): number | undefined {
     return this.#firstRefusedAt.get(lot);
   }
 
-  /** The lot was refused; how often it comes again does not matter. */
+  /** Records that a lot was refused; further refusals of the same lot change nothing. */
   addLot(lot: string, now: number): void {
     if (this.#firstRefusedAt.has(lot)) return;
     this.#firstRefusedAt.set(lot, now);
@@ -55,19 +55,19 @@
     }
   }
 
-  /** The lot was taken in the end. */
+  /** Removes the record of a lot that was accepted. */
   forgetLot(lot: string): void {
     this.#firstRefusedAt.delete(lot);
   }
 
-  /** A refusal with the wait until what is too much has left, at the pace at which it lately did. */
+  /** Adds the estimated wait to a refusal: the time to free the missing tokens at the recent rate. */
   withWait(value: NoRoom, now: number): NoRoom {
     const since = now - constants.drainCounted;
     this.#freedTokens = this.#freedTokens.filter(({ at }) => at >= since);
-    let freed = 0;
-    for (const { tokens } of this.#freedTokens) freed += tokens;
-    if (freed === 0 || value.tokens > value.allowance) return value;
-    const tooMuch = Math.max(0, value.waiting + value.tokens - value.allowance);
-    return { ...value, wait: (tooMuch / freed) * constants.drainCounted };
+    let freedTokens = 0;
+    for (const { tokens } of this.#freedTokens) freedTokens += tokens;
+    if (freedTokens === 0 || value.tokens > value.allowance) return value;
+    const missingTokens = Math.max(0, value.waiting + value.tokens - value.allowance);
+    return { ...value, wait: (missingTokens / freedTokens) * constants.drainCounted };
   }
 }
--- a/packages/data/src/runner-registrations.ts
+++ b/packages/data/src/runner-registrations.ts
@@ -1,4 +1,4 @@
-/** Runners announce themselves to an access node, and deregister (docs/design.md §7.5). */
+/** Registration of runners: they announce themselves to an access node periodically, and deregister (docs/design.md §7.5). */
 import { constants, type RunnerCard } from "@chutewick/parts";
 import type { ControlOutcome } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
@@ -10,47 +10,53 @@
 
 interface Announcement {
   readonly card: RunnerCard;
+  /** Time of the last announcement in ms, monotonic. */
   readonly heardAt: number;
 }
 
-/** What registrations need of their node. */
+/** The components of the node that registrations depend on. */
 export interface RunnerRegistrationsParts {
   readonly membership: Membership;
   readonly admission: Admission;
   readonly controlCalls: ControlCalls;
 }
 
-/** The runners that announced themselves here lately. */
+/** Registry of the runners that announced themselves to this node recently. */
 export class RunnerRegistrations {
   #membership: Membership;
   #admission: Admission;
   #controlCalls: ControlCalls;
-  #sleep: SleepDetector;
+  #sleepDetector: SleepDetector;
   #announcements = new Map<string, Announcement>();
 
   constructor({ membership, admission, controlCalls }: RunnerRegistrationsParts, now: number) {
     this.#membership = membership;
     this.#admission = admission;
     this.#controlCalls = controlCalls;
-    this.#sleep = new SleepDetector(now);
+    this.#sleepDetector = new SleepDetector(now);
   }
 
+  /** Registers a runner and replies with the interval of its announcements. */
   announce(ticket: string, announced: Omit<RunnerCard, "age">, now: number): AccessOutput[] {
-    const refusal = this.#refusal(ticket, announced);
+    const refusal = this.#checkAnnouncement(ticket, announced);
     if (refusal !== undefined) return [refusal];
-    /** What is read just after a sleep may have been said long before it, and before a deregistration (§7.5). */
-    this.#sleep.observe(now);
-    if (this.#sleep.awakeFor(now) < constants.wakingLasts) return [announceElsewhere(ticket)];
+    // A message read right after this process was suspended may be older than the deregistration of its sender.
+    this.#sleepDetector.observe(now);
+    if (this.#sleepDetector.awakeFor(now) < constants.wakingLasts)
+      return [announceElsewhere(ticket)];
     const card: RunnerCard = { ...announced, age: 0 };
     this.#announcements.set(card.id, { card, heardAt: now });
     this.#membership.heardRunner({ ...card }, now);
-    /** One that is cut off can pass nothing on: the runner is to tell another as well. */
+    // Without a lease this node cannot report the runner to the control group, so the runner has to announce at another node, too.
     if (!this.#admission.isOpen(now)) return [announceElsewhere(ticket)];
     const body = { announceEvery: constants.announceEvery };
     return [{ kind: "reply", ticket, status: 200, body }];
   }
 
-  #refusal(ticket: string, { id, incarnation }: Omit<RunnerCard, "age">): ErrorReply | undefined {
+  #checkAnnouncement(
+    ticket: string,
+    { id, incarnation }: Omit<RunnerCard, "age">,
+  ): ErrorReply | undefined {
     if (this.#membership.isClosed(id, incarnation))
       return errorReply(ticket, 409, {
         trouble: "said-goodbye",
@@ -64,11 +70,12 @@
     return undefined;
   }
 
-  /** The runner is told of success only once control has confirmed that no node sends it new work. */
+  /** Deregisters a runner. It gets a success reply only once the control group has committed that no node sends it new work. */
   deregister(ticket: string, runner: string, incarnation: number, now: number): AccessOutput[] {
     this.#membership.close(runner, incarnation);
-    const announced = this.#announcements.get(runner)?.card.incarnation;
-    if (announced !== undefined && announced <= incarnation) this.#announcements.delete(runner);
+    const announcedIncarnation = this.#announcements.get(runner)?.card.incarnation;
+    if (announcedIncarnation !== undefined && announcedIncarnation <= incarnation)
+      this.#announcements.delete(runner);
     function onResult(outcome: ControlOutcome): AccessOutput[] {
       if (outcome.kind === "confirmed") {
         const body = { done: true, newWorkWithin: 0 };
@@ -85,14 +92,14 @@
     return [...this.#membership.spread(), ...this.#controlCalls.ask(command, onResult, now)];
   }
 
-  /** Forgets runners that were not heard of lately. */
+  /** Removes the runners whose last announcement is too old. */
   beat(now: number): void {
-    this.#sleep.observe(now);
+    this.#sleepDetector.observe(now);
     for (const [id, { heardAt }] of this.#announcements)
       if (now - heardAt > constants.runnerLasts) this.#announcements.delete(id);
   }
 
-  /** What this node tells control of them, with their ages in ms. */
+  /** The runner cards that this node reports to the control group, with their ages in ms. */
   cards(now: number): RunnerCard[] {
     const cards: RunnerCard[] = [];
     for (const { card, heardAt } of this.#announcements.values())
@@ -101,7 +108,7 @@
   }
 }
 
-/** The answer to an announcement that this node cannot pass on, or has not taken in. */
+/** The reply to an announcement that this node rejects, or cannot report to the control group. */
 function announceElsewhere(ticket: string): ErrorReply {
   return notRunReply(
     ticket,
--- a/packages/data/src/sleep-detector.ts
+++ b/packages/data/src/sleep-detector.ts
@@ -1,24 +1,24 @@
-/** Notices that this process slept: its signs, which come every beat, were far apart (docs/design.md §7.5). */
+/** Detects that this process was suspended, from an unusually long gap between two ticks (docs/design.md §7.5). */
 import { constants } from "@chutewick/parts";
 
-/** Moments are in ms of the monotonic clock. */
+/** Times are in ms of the monotonic clock. */
 export class SleepDetector {
-  #lastSignAt: number;
-  #wokeAt = Number.NEGATIVE_INFINITY;
+  #lastObservedAt: number;
+  #resumedAt = Number.NEGATIVE_INFINITY;
 
-  /** lastSignAt: the moment from which the first sleep counts; +∞ where it counts from the first sign. */
-  constructor(lastSignAt: number) {
-    this.#lastSignAt = lastSignAt;
+  /** @param lastObservedAt start of the first gap; +∞ if the first gap starts with the first observation */
+  constructor(lastObservedAt: number) {
+    this.#lastObservedAt = lastObservedAt;
   }
 
-  /** A sign that this process runs. */
+  /** Records that this process is running. */
   observe(now: number): void {
-    if (now - this.#lastSignAt > constants.sleptLeast) this.#wokeAt = now;
-    this.#lastSignAt = now;
+    if (now - this.#lastObservedAt > constants.sleptLeast) this.#resumedAt = now;
+    this.#lastObservedAt = now;
   }
 
-  /** ms since the last sleep ended. */
+  /** Time since the end of the last suspension, in ms; infinite if there was none. */
   awakeFor(now: number): number {
-    return now - this.#wokeAt;
+    return now - this.#resumedAt;
   }
 }
