--- a/features/steps/relay-requests.ts
+++ b/features/steps/relay-requests.ts
@@ -1,11 +1,11 @@
 import type { PassRequest } from "@chutewick/data";
 
-/** A request as an interface reads it: posted, without a body, saying nothing of itself but what is given. */
+/** Returns a request on a passage as parsed by the HTTP interface: a POST without a body and without optional fields, except those given. */
 export function requestOf(
   id: string,
   host: string,
   path: string,
-  more: Partial<PassRequest> = {},
+  overrides: Partial<PassRequest> = {},
 ): PassRequest {
   return {
     id,
@@ -21,6 +21,6 @@
     parts: [],
     resumeAfter: undefined,
     credential: undefined,
-    ...more,
+    ...overrides,
   };
 }
--- a/packages/data/src/attempts.ts
+++ b/packages/data/src/attempts.ts
@@ -32,7 +32,7 @@
 /** The command that sends an attempt to its runner. */
 export type RunCommand = Extract<AccessOutput, { kind: "run" }>;
 
-/** The attempts under way at one access node, by their numbers. */
+/** The attempts in progress at one access node, by their numbers. */
 export class Attempts {
   #membership: Membership;
   #attempts = new Map<number, Attempt>();
@@ -96,14 +96,14 @@
     return Math.max(ownAttempts, runner.burden + startedSinceReport);
   }
 
-  /** Prompts under way, in the order in which their attempts started. */
+  /** Prompts in progress, in the order in which their attempts started. */
   prompts(): DrawnPrompt[] {
     const prompts: DrawnPrompt[] = [];
     for (const { job } of this.#attempts.values()) if (job.kind === "prompt") prompts.push(job);
     return prompts;
   }
 
-  /** Number of prompts under way, by runner. */
+  /** Number of prompts in progress, by runner. */
   promptsByRunner(): [runner: string, count: number][] {
     const counts = new Map<string, number>();
     for (const { job, runner } of this.#attempts.values())
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -29,9 +29,9 @@
   readonly hash: number;
   /** Maximum number of connections from this node. */
   connections: number;
-  /** Live attempts of this node under way at the runner. */
+  /** Live attempts of this node in progress at the runner. */
   live: number;
-  /** Item attempts of this node under way at the runner. */
+  /** Item attempts of this node in progress at the runner. */
   items: number;
   /** Live and item attempts of all other nodes, as last reported. */
   othersLive: number;
@@ -59,7 +59,7 @@
   troubles: number;
 }
 
-/** An attempt under way: one request sent to one runner. */
+/** An attempt in progress: one request sent to one runner. */
 interface Attempt {
   readonly state: RunnerState;
   readonly item: boolean;
@@ -89,15 +89,15 @@
 interface PoolPartition {
   /** Slots taken by short live requests, smoothed. */
   shortLoad: number;
-  /** Long prompts of this node under way, smoothed. */
+  /** Long prompts of this node in progress, smoothed. */
   longLoad: number;
-  /** Long prompts of this node under way now. */
+  /** Long prompts of this node in progress now. */
   longCount: number;
   /** Time at which a long prompt last started or ended. */
   lastLongAt: number;
   /** Number of runners for short live requests, the first ones by hash; infinite while the pool is not split. */
   shortRunners: number;
-  /** Time of the last update. */
+  /** Time of the last update, for the smoothing. */
   at: number;
 }
 
@@ -120,7 +120,7 @@
   #pools = new Map<string, RunnerState[]>();
   #addresses = new Map<string, RunnerState>();
   #runners = new Map<string, RunnerState>();
-  /** By hash of shared parts: the runners that prefilled them for this node lately, and when. */
+  /** By hash of shared parts: the runners that prefilled them for this node recently, and when. */
   #prefilledAt = new Map<number, Map<string, number>>();
   #partitions = new Map<string, PoolPartition>();
   #refreshedAt = Number.NEGATIVE_INFINITY;
@@ -252,7 +252,7 @@
     return at !== undefined && now - at < constants.partsKept;
   }
 
-  /** Whether work is under way but the runner has sent nothing for longer than the prefill should take. */
+  /** Whether work is in progress but the runner has sent nothing for longer than the prefill should take. */
   #isSilent(state: RunnerState, now: number): boolean {
     return (
       state.live + state.items > 0 &&
@@ -295,7 +295,7 @@
   }
 
   /** This node's part of the connections that a pool allows to one runner. */
-  #connectionLimit(pool: string): number {
+  #ownConnectionLimit(pool: string): number {
     const poolLimit = this.#fleet.configuration.value.pools?.[pool]?.connections ?? 0;
     return poolLimit === 0
       ? constants.connectionsUntold
@@ -567,7 +567,7 @@
         troubles: 0,
       };
       state.card = card;
-      state.connections = this.#connectionLimit(card.pool);
+      state.connections = this.#ownConnectionLimit(card.pool);
       state.isAnnounced = true;
       [state.othersLive, state.othersItems] = otherLoads.get(card.id) ?? [0, 0];
       this.#states.set(key, state);
@@ -578,7 +578,7 @@
       else members.push(state);
     }
     for (const [pool, states] of this.#pools) this.#repartition(pool, states, now);
-    // Runners that are no longer announced are kept while attempts are under way there.
+    // Runners that are no longer announced are kept while attempts are in progress there.
     for (const [key, state] of previous) {
       if (this.#states.has(key)) continue;
       state.isAnnounced = false;
--- a/packages/data/src/claim-heartbeats.ts
+++ b/packages/data/src/claim-heartbeats.ts
@@ -58,7 +58,7 @@
       this.#heartbeats.set(key, { go, at: now, place });
       return true;
     }
-    // A claim that is not committed yet has not been reported to its dispatcher, so its time starts anew.
+    // A claim that is not committed yet has not been reported to its dispatcher, so its timeout restarts.
     if (heartbeat.place !== undefined && confirmed < heartbeat.place)
       this.#heartbeats.set(key, { ...heartbeat, at: now });
     const timeoutMs =
@@ -66,7 +66,7 @@
     return now - heartbeat.at <= timeoutMs;
   }
 
-  /** Removes the claims of items that are no longer under way. */
+  /** Removes the claims of items that are no longer in progress. */
   forgetAllBut(...underWay: readonly { has(key: string): boolean }[]): void {
     for (const key of this.#heartbeats.keys())
       if (!underWay.some((items) => items.has(key))) this.#heartbeats.delete(key);
--- a/packages/data/src/queue-governance.ts
+++ b/packages/data/src/queue-governance.ts
@@ -7,7 +7,7 @@
 import type { QueueRefusals } from "./queue-refusals.js";
 
 /** The state of a queue that a command is checked against. */
-export interface GovernedQueue {
+export interface QueueContext {
   readonly queue: string;
   readonly configuration: Configuration;
   /** Whether the queue was assigned a share of the quota for waiting work. */
@@ -20,8 +20,8 @@
   | { readonly kind: "entered"; readonly command: QueueCommand }
   | { readonly kind: "refused"; readonly reason: string };
 
-type Admit = Extract<QueueCommand, { kind: "admit" }>;
-type LotSubmission = Extract<QueueCommand, { kind: "hand-in" }>;
+type AdmitCommand = Extract<QueueCommand, { kind: "admit" }>;
+type SubmitCommand = Extract<QueueCommand, { kind: "hand-in" }>;
 
 /**
  * Whether a command depends on the configuration or a season, so that the owner needs a lease for it. Results and cancellations
@@ -32,18 +32,14 @@
 }
 
 /** Applies the configuration of the owner to a command. */
-export function governed(
-  command: QueueCommand,
-  queue: GovernedQueue,
-  now: number,
-): GovernedCommand {
+export function governed(command: QueueCommand, queue: QueueContext, now: number): GovernedCommand {
   if (command.kind === "admit") return applyToAdmission(command, queue);
   if (command.kind === "hand-in") return applyToSubmission(command, queue, now);
   return { kind: "entered", command };
 }
 
 /** A lot has labels of its own and of its route; the labels of its model and adapter come from the configuration. */
-function applyToAdmission(command: Admit, context: GovernedQueue): GovernedCommand {
+function applyToAdmission(command: AdmitCommand, context: QueueContext): GovernedCommand {
   const queuePlans = configuration.queues(context.configuration);
   const queuePlan = queuePlans.find(({ queue }) => queue === context.queue);
   if (queuePlan === undefined) return refused("the configuration has no such queue");
@@ -57,8 +53,8 @@
  * may be assigned to gets an equal part of the allowance.
  */
 function applyToSubmission(
-  command: LotSubmission,
-  queue: GovernedQueue,
+  command: SubmitCommand,
+  queue: QueueContext,
   now: number,
 ): GovernedCommand {
   const { passages } = queue.configuration;
--- a/packages/data/src/queue-messages.ts
+++ b/packages/data/src/queue-messages.ts
@@ -26,7 +26,7 @@
       readonly items: readonly Claim[];
       readonly tasks?: readonly Claim[];
     }
-  /** The lot has ended; its attempts under way are cancelled. */
+  /** The lot has ended; its attempts in progress are cancelled. */
   | { readonly kind: "lot-ended"; readonly lot: string };
 
 /** The outcome of a request to the owner of a queue. */
--- a/packages/data/src/runner-registrations.ts
+++ b/packages/data/src/runner-registrations.ts
@@ -15,7 +15,7 @@
 }
 
 /** The components of the node that registrations depend on. */
-export interface RunnerRegistrationsParts {
+export interface RunnerRegistrationsDependencies {
   readonly membership: Membership;
   readonly admission: Admission;
   readonly controlCalls: ControlCalls;
@@ -29,7 +29,10 @@
   #sleepDetector: SleepDetector;
   #announcements = new Map<string, Announcement>();
 
-  constructor({ membership, admission, controlCalls }: RunnerRegistrationsParts, now: number) {
+  constructor(
+    { membership, admission, controlCalls }: RunnerRegistrationsDependencies,
+    now: number,
+  ) {
     this.#membership = membership;
     this.#admission = admission;
     this.#controlCalls = controlCalls;
