--- a/packages/parts/src/lot-records.ts
+++ b/packages/parts/src/lot-records.ts
@@ -2,8 +2,8 @@
 import type { Ledger } from "./ledger.js";
 import type { Item, ItemState, ItemView, Lot, QueueResult } from "./lot-messages.js";
 
-/** What is left of a lot when its results are no longer kept. */
-export interface Stone {
+/** What remains of a lot after its results were deleted. */
+export interface LotTombstone {
   readonly lot: string;
   readonly way: string;
   readonly body: string;
@@ -12,34 +12,35 @@
   readonly endedAt: number;
 }
 
-/** An item that has not ended, under its key. */
+/** An unfinished item with its ledger key. */
 export interface OpenItem {
   readonly key: string;
   readonly item: Item;
 }
 
-/** What a final item tells. */
-export interface Final {
+/** The final outcome of an item. */
+export interface FinalState {
   readonly state: ItemState;
   readonly result?: unknown;
   readonly reason?: string;
 }
 
-export const ranOut: Final = { state: "failed", reason: "the lot's time ran out" };
+/** The outcome of items that were unfinished at their lot's deadline. */
+export const deadlineExceeded: FinalState = { state: "failed", reason: "the lot's time ran out" };
 
-/** Key of a lot. */
+/** Ledger key of a lot. */
 export function lotKey(lot: string): string {
   return `lot/${lot}`;
 }
 
-/** Key of an item. */
+/** Ledger key of an item; the index has a fixed width, so that keys sort by index. */
 export function itemKey(lot: string, index: number): string {
   return `item/${lot}/${String(index).padStart(6, "0")}`;
 }
 
 /** Ledger time at which the lot of a tombstone ended. */
-export function endedAt(stone: Stone): number {
-  return stone.endedAt;
+export function endedAt(tombstone: LotTombstone): number {
+  return tombstone.endedAt;
 }
 
 /** The season that governs the lot of an item. */
@@ -47,15 +48,18 @@
   return ledger.read<Lot>(lotKey(item.lot))?.season ?? "";
 }
 
-/** Whether time alone ends a lot, or the keeping of its results. */
+/** Whether a lot is past its deadline, or a finished one past the retention of its results. */
 export function isExpired(lot: Lot, time: number): boolean {
   return lot.finishedAt === undefined
     ? lot.deadline <= time
     : lot.finishedAt + constants.lotKept <= time;
 }
 
-/** Word of a lot that ended long ago. */
-export function gone({ lot, way, items, cancelled, endedAt }: Stone, time: number): QueueResult {
+/** The result for a lot that ended and whose results were deleted. */
+export function goneResult(
+  { lot, way, items, cancelled, endedAt }: LotTombstone,
+  time: number,
+): QueueResult {
   return { kind: "GONE", lot, way, items, cancelled, endedBefore: time - endedAt };
 }
 
--- a/packages/parts/src/lot-shares.ts
+++ b/packages/parts/src/lot-shares.ts
@@ -1,16 +1,20 @@
 import type { Limits } from "./bucket.js";
 import { season as seasons, type Selector } from "./season.js";
 
-/** What the owner holds of control's word: the limits, its share of waiting work, and the mark of both. */
+/** The queue's limits and its share of waiting work, as last assigned by the control plane. */
 export interface Share {
   readonly limits: Limits;
   /** Sum of the classes' shares. */
   readonly share: number;
+  /** Version of the control state that assigned them. */
   readonly mark: number;
   readonly classes?: readonly ShareClass[];
 }
 
-/** Lots of one season in this queue, or those that no season selects (""); asked in this order (§8.4). */
+/**
+ * The share of one season (a dated window with label selectors) in this queue, or of the lots that no season selects
+ * (""). The first class that selects a lot applies (docs/design.md §8.4).
+ */
 export interface ShareClass {
   readonly season: string;
   readonly select: readonly Selector[];
@@ -18,16 +22,18 @@
   readonly share: number;
 }
 
-const none: readonly Selector[] = [];
+const noSelectors: readonly Selector[] = [];
 
-/** What releases without classes wrote is one class that takes every lot. */
+/** The classes of a share. Shares written by releases without classes have one class that selects every lot. */
 export function classesOf(share: Share | undefined): readonly ShareClass[] {
   return share === undefined
     ? []
-    : (share.classes ?? [{ season: "", select: none, runners: none, share: share.share }]);
+    : (share.classes ?? [
+        { season: "", select: noSelectors, runners: noSelectors, share: share.share },
+      ]);
 }
 
-/** Whether two limits are the same. */
+/** Whether two limits are equal. */
 export function sameLimits(left: Limits, right: Limits): boolean {
   return (
     left.tokens === right.tokens &&
@@ -41,12 +47,13 @@
   share: Share | undefined,
   labels: Readonly<Record<string, string>>,
 ): ShareClass | undefined {
-  for (const each of classesOf(share)) if (seasons.matches(each.select, labels)) return each;
+  for (const shareClass of classesOf(share))
+    if (seasons.matches(shareClass.select, labels)) return shareClass;
   return undefined;
 }
 
-/** The class that an open lot weighs on: its own season while that has a share, else the first that would select it now. */
-export function weighsOn(
+/** The season whose share an unfinished lot counts against: its own while that has a share, else the first that selects it now. */
+export function seasonCharged(
   classes: readonly ShareClass[],
   own: string,
   labels: Readonly<Record<string, string>>,
--- a/packages/parts/src/lot.ts
+++ b/packages/parts/src/lot.ts
@@ -4,59 +4,64 @@
 import type { Item, Lot, QueueCommand, QueueResult } from "./lot-messages.js";
 import {
   endedAt,
-  gone,
+  goneResult,
   isExpired,
   itemKey,
   itemViews,
   lotKey,
   seasonOf,
-  ranOut,
-  type Final,
+  deadlineExceeded,
+  type FinalState,
   type OpenItem,
-  type Stone,
+  type LotTombstone,
 } from "./lot-records.js";
-import { classesOf, governs, sameLimits, weighsOn, type Share } from "./lot-shares.js";
+import { classesOf, governs, sameLimits, seasonCharged, type Share } from "./lot-shares.js";
 import type { PassCommand } from "./pass-messages.js";
 import { PassQueue } from "./pass-queue.js";
 import { passReads } from "./pass-reads.js";
 import {
-  keyBucket,
-  keyLimits,
-  keySequence,
+  bucketKey,
+  limitsKey,
+  sequenceKey,
   limitedBucket,
   restoreToken,
-  type Step,
+  type Context,
 } from "./queue-bucket.js";
 import type { Selector } from "./season.js";
 import { Tombstones } from "./tombstones.js";
 import { WaitingItems, type WaitingItem } from "./waiting.js";
 
-type Admission = Extract<QueueCommand, { kind: "admit" }>;
+type SubmitCommand = Extract<QueueCommand, { kind: "admit" }>;
 
-const none: readonly Selector[] = [];
+const noSelectors: readonly Selector[] = [];
 
-/** One queue with its bucket, lots, items and results: one atomic step each at its owner (docs/design.md §3, §5). */
+/**
+ * The replicated state machine of one queue: its token bucket, lots (batch jobs), their items and results. The queue's owner
+ * applies each command atomically (docs/design.md §3, §5).
+ */
 export class QueueMachine implements Machine {
-  /** Derived from the ledger: what waits, by season. */
+  /** Queued items by season; derived from the ledger. */
   #waiting = new WaitingItems<WaitingItem>();
-  /** Items of each lot that wait or are under way, and the season whose share they weigh on. */
-  #open = new Map<string, number>();
-  #weighsOn = new Map<string, string>();
+  /** Number of unfinished items by lot. */
+  #openByLot = new Map<string, number>();
+  /** By lot: the season whose share its unfinished items count against. */
+  #seasonByLot = new Map<string, string>();
+  /** Attempt number of each active claim, by item key. */
   #processing = new Map<string, number>();
   #lots = new Set<string>();
-  #stones = new Tombstones<Stone>("gone/", endedAt);
-  /** Lots of passages, under the same bucket and in the same order (§13.7). */
+  #tombstones = new Tombstones<LotTombstone>("gone/", endedAt);
+  /** Lots that were submitted on passages; they share the bucket and the sequence numbers (docs/design.md §13.7). */
   readonly passes = new PassQueue();
 
   rebuild(ledger: Ledger): void {
     this.passes.rebuild(ledger);
     this.#waiting.clear();
-    this.#open.clear();
+    this.#openByLot.clear();
     this.#processing.clear();
     this.#lots.clear();
     for (const [, lot] of ledger.under<Lot>("lot/")) {
       this.#lots.add(lot.id);
-      if (lot.open > 0) this.#open.set(lot.id, lot.open);
+      if (lot.open > 0) this.#openByLot.set(lot.id, lot.open);
     }
     for (const [key, item] of ledger.under<Item>("item/")) {
       if (item.state === "queued")
@@ -64,152 +69,152 @@
       if (item.state === "processing") this.#processing.set(key, item.go);
     }
     this.#waiting.sort();
-    this.#weigh(ledger);
-    this.#stones.rebuild(ledger);
+    this.#assignSeasons(ledger);
+    this.#tombstones.rebuild(ledger);
   }
 
-  /** Claims under way, for the owner's watch over signs of life. */
+  /** Active claims by item key, each with its attempt number; the queue's owner checks them for missing heartbeats. */
   processing(): ReadonlyMap<string, number> {
     return this.#processing;
   }
 
   share(ledger: Ledger): Share | undefined {
-    return ledger.read<Share>(keyLimits);
+    return ledger.read<Share>(limitsKey);
   }
 
   get waiting(): number {
     return this.passes.waiting + this.#waiting.size;
   }
 
-  /** What waits and what may come back to wait, by the season whose share it weighs on (§8.4). */
+  /** Number of unfinished items (queued, or claimed and possibly requeued) by the season whose share they count against. */
   open(): Map<string, number> {
     const counts = new Map<string, number>();
-    for (const [lot, count] of this.#open) {
-      const on = this.#weighsOn.get(lot) ?? "";
-      counts.set(on, (counts.get(on) ?? 0) + count);
+    for (const [lot, count] of this.#openByLot) {
+      const season = this.#seasonByLot.get(lot) ?? "";
+      counts.set(season, (counts.get(season) ?? 0) + count);
     }
     return counts;
   }
 
-  /** A lot weighs on its own season while that is open, then on the first one that would select it now. */
-  #weigh(ledger: Ledger): void {
-    this.#weighsOn.clear();
+  /** Unfinished lots count against their own season while it has a share, then against the first one that selects them now. */
+  #assignSeasons(ledger: Ledger): void {
+    this.#seasonByLot.clear();
     const classes = classesOf(this.share(ledger));
-    for (const id of this.#open.keys()) {
+    for (const id of this.#openByLot.keys()) {
       const lot = ledger.read<Lot>(lotKey(id))!;
-      this.#weighsOn.set(id, weighsOn(classes, lot.season ?? "", lot.labels));
+      this.#seasonByLot.set(id, seasonCharged(classes, lot.season ?? "", lot.labels));
     }
   }
 
-  /** Whether time alone has something to do: a deadline passed or a kept lot grown old. */
+  /** Whether `expire` has something to do: a deadline has passed, or the retention of results or tombstones has ended. */
   due(ledger: Ledger, time: number): boolean {
     for (const id of this.#lots) {
       const lot = ledger.read<Lot>(lotKey(id));
       if (lot !== undefined && isExpired(lot, time)) return true;
     }
-    return this.#stones.isDue(time) || this.passes.due(time);
+    return this.#tombstones.isDue(time) || this.passes.isExpiryDue(time);
   }
 
   apply(ledger: Ledger, input: unknown, time: number): QueueResult {
     const command = input as QueueCommand;
-    const step: Step = { ledger, time };
+    const context: Context = { ledger, time };
     switch (command.kind) {
       case "limit":
-        return this.#limit(step, command);
+        return this.#applyLimits(context, command);
       case "admit":
-        return this.#admit(step, command);
+        return this.#submit(context, command);
       case "pop":
-        return this.#pop(step, command.holder, command.unable ?? []);
+        return this.#dequeue(context, command.holder, command.unable ?? []);
       case "record":
-        return this.#record(step, command);
+        return this.#record(context, command);
       case "cancel":
-        return this.#cancel(step, command.lot);
+        return this.#cancel(context, command.lot);
       case "reset":
-        return this.#reset(step, command.items);
+        return this.#reset(context, command.items);
       case "expire":
-        return this.#expire(step);
+        return this.#expire(context);
       case "status":
-        return this.#status(step, command.lot);
+        return this.#status(context, command.lot);
       case "count":
-        return this.#count(step);
+        return this.#count(context);
       default:
-        return this.#applyPass(step, command);
+        return this.#applyPass(context, command);
     }
   }
 
-  #applyPass(step: Step, command: PassCommand): QueueResult {
+  #applyPass(context: Context, command: PassCommand): QueueResult {
     switch (command.kind) {
       case "hand-in":
-        return this.passes.handIn(step, command);
+        return this.passes.submit(context, command);
       case "draw":
-        return this.passes.draw(step, command);
+        return this.passes.dequeue(context, command);
       case "settle":
-        return this.passes.settle(step, command);
+        return this.passes.settle(context, command);
       case "end":
-        return this.passes.end(step, command);
+        return this.passes.end(context, command);
       case "drop-way":
-        return this.passes.dropWay(step, command.way);
+        return this.passes.dropPassage(context, command.way);
       case "results":
-        return passReads.results(step.ledger, command);
+        return passReads.results(context.ledger, command);
       case "read-item":
-        return passReads.readItem(step.ledger, command);
+        return passReads.readItem(context.ledger, command);
     }
   }
 
-  /** Limits and the share of waiting work, entered by the owner under the mark of control state (§8.4). */
-  #limit({ ledger, time }: Step, command: Share): QueueResult {
-    const before = ledger.read<Share>(keyLimits);
-    if (before !== undefined && before.mark >= command.mark) return { kind: "STALE" };
-    const held = ledger.read<Bucket>(keyBucket);
-    if (before === undefined || held === undefined)
-      ledger.put(keyBucket, bucket.full(command.limits, time));
-    else if (!sameLimits(before.limits, command.limits))
-      ledger.put(keyBucket, bucket.relimit(held, before.limits, command.limits, time));
-    ledger.put(keyLimits, {
+  /** Stores the limits and the queue's share of waiting work; an older version of the control state is rejected as stale. */
+  #applyLimits({ ledger, time }: Context, command: Share): QueueResult {
+    const previous = ledger.read<Share>(limitsKey);
+    if (previous !== undefined && previous.mark >= command.mark) return { kind: "STALE" };
+    const current = ledger.read<Bucket>(bucketKey);
+    if (previous === undefined || current === undefined)
+      ledger.put(bucketKey, bucket.full(command.limits, time));
+    else if (!sameLimits(previous.limits, command.limits))
+      ledger.put(bucketKey, bucket.relimit(current, previous.limits, command.limits, time));
+    ledger.put(limitsKey, {
       limits: command.limits,
       share: command.share,
       mark: command.mark,
       ...(command.classes === undefined ? {} : { classes: command.classes }),
     } satisfies Share);
-    this.#weigh(ledger);
+    this.#assignSeasons(ledger);
     return { kind: "DONE", count: 1 };
   }
 
-  #admit(step: Step, command: Admission): QueueResult {
-    const known = this.#knownLot(step, command);
+  #submit(context: Context, command: SubmitCommand): QueueResult {
+    const known = this.#findKnownLot(context, command);
     if (known !== undefined) return known;
-    const governing = governs(this.share(step.ledger), command.labels);
+    const governing = governs(this.share(context.ledger), command.labels);
     const share = governing?.share ?? 0;
     const allowance = governing?.season === "" ? Math.min(command.allowance, share) : share;
     const season = governing?.season ?? "";
     const waiting = this.open().get(season) ?? 0;
     const items = command.prompts.length;
     if (waiting + items > allowance) {
-      const wait = this.#waitFor(step, items, waiting, allowance);
+      const wait = this.#estimateWait(context, items, waiting, allowance);
       return { kind: "FULL", items, waiting, allowance, season, wait };
     }
-    return this.#enter(step, command, season, governing?.runners ?? none);
+    return this.#addLot(context, command, season, governing?.runners ?? noSelectors);
   }
 
-  /** The same key with the same items is the same lot, also when it ended long ago. */
-  #knownLot({ ledger, time }: Step, { lot, body }: Admission): QueueResult | undefined {
-    const held = ledger.read<Lot>(lotKey(lot));
-    if (held !== undefined) {
-      if (held.body !== body) return { kind: "CONFLICT", lot };
-      return { kind: "ADMITTED", lot, again: true, remaining: Math.max(0, held.deadline - time) };
+  /** Idempotency: a known lot id with the same body is acknowledged again, also after its results were deleted. */
+  #findKnownLot({ ledger, time }: Context, { lot, body }: SubmitCommand): QueueResult | undefined {
+    const known = ledger.read<Lot>(lotKey(lot));
+    if (known !== undefined) {
+      if (known.body !== body) return { kind: "CONFLICT", lot };
+      return { kind: "ADMITTED", lot, again: true, remaining: Math.max(0, known.deadline - time) };
     }
-    const stone = this.#stones.read(ledger, lot);
-    if (stone === undefined) return undefined;
-    return stone.body === body ? gone(stone, time) : { kind: "CONFLICT", lot };
+    const tombstone = this.#tombstones.read(ledger, lot);
+    if (tombstone === undefined) return undefined;
+    return tombstone.body === body ? goneResult(tombstone, time) : { kind: "CONFLICT", lot };
   }
 
-  #enter(
-    { ledger, time }: Step,
-    command: Admission,
+  #addLot(
+    { ledger, time }: Context,
+    command: SubmitCommand,
     season: string,
     runners: readonly Selector[],
   ): QueueResult {
-    this.#enterItems(ledger, command, season);
+    this.#addItems(ledger, command, season);
     const lot: Lot = {
       id: command.lot,
       way: command.way,
@@ -223,15 +228,15 @@
       season,
       ...(runners.length === 0 ? {} : { runners }),
     };
-    this.#open.set(lot.id, lot.items);
-    this.#weighsOn.set(lot.id, season);
+    this.#openByLot.set(lot.id, lot.items);
+    this.#seasonByLot.set(lot.id, season);
     ledger.put(lotKey(lot.id), lot);
     this.#lots.add(lot.id);
     return { kind: "ADMITTED", lot: lot.id, again: false, remaining: lot.deadline - time };
   }
 
-  #enterItems(ledger: Ledger, { lot, prompts }: Admission, season: string): void {
-    let sequence = ledger.read<number>(keySequence) ?? 1;
+  #addItems(ledger: Ledger, { lot, prompts }: SubmitCommand, season: string): void {
+    let sequence = ledger.read<number>(sequenceKey) ?? 1;
     for (const [index, prompt] of prompts.entries()) {
       const key = itemKey(lot, index);
       const item: Item = { lot, index, sequence, state: "queued", go: 0, troubles: 0, prompt };
@@ -239,12 +244,15 @@
       this.#waiting.push(season, { sequence, key });
       sequence += 1;
     }
-    ledger.put(keySequence, sequence);
+    ledger.put(sequenceKey, sequence);
   }
 
-  /** When there could be room at the earliest: what is too much must end, and what is not under way yet needs a token first. */
-  #waitFor(
-    { ledger, time }: Step,
+  /**
+   * Earliest time at which there could be free capacity, in ms from now: the excess items must end, and those that are
+   * not running yet need a token first.
+   */
+  #estimateWait(
+    { ledger, time }: Context,
     items: number,
     open: number,
     allowance: number,
@@ -253,23 +261,23 @@
     if (items > allowance || limited === undefined) return undefined;
     const rate = bucket.rate(limited.limits);
     if (rate <= 0) return undefined;
-    const toDraw = open - this.#processing.size + items - allowance;
+    const toDequeue = open - this.#processing.size + items - allowance;
     const level = bucket.level(limited.held, limited.limits, time);
-    return Math.max(0, (toDraw - level) / rate) * 1_000;
+    return Math.max(0, (toDequeue - level) / rate) * 1_000;
   }
 
-  #pop(step: Step, holder: string, unable: readonly string[]): QueueResult {
-    const { ledger, time } = step;
+  #dequeue(context: Context, holder: string, unable: readonly string[]): QueueResult {
+    const { ledger, time } = context;
     const limited = limitedBucket(ledger);
     if (limited === undefined) return { kind: "RATE_LIMITED", wait: undefined };
-    const take = (): OpenItem | undefined => this.#first(step, unable);
-    const drawn = bucket.draw(limited.held, limited.limits, time, take);
+    const takeNext = (): OpenItem | undefined => this.#takeNext(context, unable);
+    const drawn = bucket.draw(limited.held, limited.limits, time, takeNext);
     if (drawn.kind !== "TAKEN") return drawn;
     const { key, item } = drawn.prompt;
     const lot = ledger.read<Lot>(lotKey(item.lot))!;
     const claimed: Item = { ...item, state: "processing", go: item.go + 1, holder };
     ledger.put(key, claimed);
-    ledger.put(keyBucket, drawn.bucket);
+    ledger.put(bucketKey, drawn.bucket);
     this.#processing.set(key, claimed.go);
     return {
       kind: "TAKEN",
@@ -280,14 +288,14 @@
       way: lot.way,
       remaining: lot.deadline - time,
       season: lot.season ?? "",
-      runners: lot.runners ?? none,
+      runners: lot.runners ?? noSelectors,
     };
   }
 
-  /** The first in the queue whose season has runners; items of a lot whose time has run out are left to the expiry, not run. */
-  #first({ ledger, time }: Step, unable: readonly string[]): OpenItem | undefined {
-    const able = [...this.#waiting.groups()].filter((season) => !unable.includes(season));
-    const taken = this.#waiting.takeFirst(able, {
+  /** Takes the first queued item whose season has runners. Items of lots past their deadline are left for `expire`. */
+  #takeNext({ ledger, time }: Context, unable: readonly string[]): OpenItem | undefined {
+    const seasons = [...this.#waiting.groups()].filter((season) => !unable.includes(season));
+    const taken = this.#waiting.takeFirst(seasons, {
       mayRun: ({ key }) => {
         const item = ledger.read<Item>(key)!;
         return ledger.read<Lot>(lotKey(item.lot))!.deadline > time;
@@ -299,118 +307,125 @@
       : { key: taken.key, item: ledger.read<Item>(taken.key)! };
   }
 
-  #record(step: Step, command: Extract<QueueCommand, { kind: "record" }>): QueueResult {
+  /** Records the end of a claim. A claim that is no longer the newest of its item is stale and changes nothing. */
+  #record(context: Context, command: Extract<QueueCommand, { kind: "record" }>): QueueResult {
     const key = itemKey(command.lot, command.index);
-    const item = step.ledger.read<Item>(key);
-    const lot = step.ledger.read<Lot>(lotKey(command.lot));
+    const item = context.ledger.read<Item>(key);
+    const lot = context.ledger.read<Lot>(lotKey(command.lot));
     if (item === undefined || lot === undefined) return { kind: "UNKNOWN_LOT" };
     if (item.state !== "processing" || item.go !== command.go) return { kind: "STALE" };
     this.#processing.delete(key);
     const ending = command.ending;
     if (ending.kind === "solved")
-      return this.#finish(step, { key, item }, { state: "solved", result: ending.result });
-    if (ending.kind === "unsent") restoreToken(step);
+      return this.#finish(context, { key, item }, { state: "solved", result: ending.result });
+    if (ending.kind === "unsent") restoreToken(context);
     const troubles = item.troubles + (ending.kind === "trouble" ? 1 : 0);
     const open: OpenItem = { key, item: { ...item, troubles } };
     if (ending.kind === "trouble" && troubles >= constants.troublesMost)
-      return this.#finish(step, open, { state: "failed", reason: ending.reason });
-    return this.#giveBack(step, open, lot);
+      return this.#finish(context, open, { state: "failed", reason: ending.reason });
+    return this.#requeue(context, open, lot);
   }
 
-  /** Back to its own place in the queue; in a cancelled lot it ends there. */
-  #giveBack(step: Step, open: OpenItem, lot: Lot): QueueResult {
-    if (lot.cancelled) return this.#finish(step, open, { state: "cancelled" });
+  /** Puts the item back at its original position in the queue; in a cancelled lot it is cancelled instead. */
+  #requeue(context: Context, open: OpenItem, lot: Lot): QueueResult {
+    if (lot.cancelled) return this.#finish(context, open, { state: "cancelled" });
     const { key, item } = open;
-    step.ledger.put(key, { ...item, state: "queued", holder: undefined });
+    context.ledger.put(key, { ...item, state: "queued", holder: undefined });
     this.#waiting.giveBack(lot.season ?? "", { sequence: item.sequence, key });
     return { kind: "RECORDED", state: "queued" };
   }
 
-  #finish({ ledger, time }: Step, { key, item }: OpenItem, final: Final): QueueResult {
+  #finish({ ledger, time }: Context, { key, item }: OpenItem, final: FinalState): QueueResult {
     const { prompt: _prompt, ...kept } = item;
     ledger.put(key, { ...kept, prompt: null, holder: undefined, ...final });
     const lot = ledger.read<Lot>(lotKey(item.lot))!;
     const open = lot.open - 1;
-    if (open === 0) this.#open.delete(lot.id);
-    else this.#open.set(lot.id, open);
+    if (open === 0) this.#openByLot.delete(lot.id);
+    else this.#openByLot.set(lot.id, open);
     ledger.put(lotKey(lot.id), { ...lot, open, ...(open === 0 ? { finishedAt: time } : {}) });
     return { kind: "RECORDED", state: final.state };
   }
 
-  #cancel(step: Step, id: string): QueueResult {
-    const { ledger } = step;
+  /** Cancels the queued items of a lot at once; running ones are cancelled when they are requeued. */
+  #cancel(context: Context, id: string): QueueResult {
+    const { ledger } = context;
     const lot = ledger.read<Lot>(lotKey(id));
     if (lot === undefined)
-      return this.#stones.read(ledger, id) === undefined
+      return this.#tombstones.read(ledger, id) === undefined
         ? { kind: "UNKNOWN_LOT" }
         : { kind: "CANCELLED", lot: id, stopped: 0 };
     if (lot.cancelled || lot.open === 0) return { kind: "CANCELLED", lot: id, stopped: 0 };
     ledger.put(lotKey(id), { ...lot, cancelled: true });
-    const stopped = this.#endWaiting(step, id, { state: "cancelled" });
+    const stopped = this.#finishQueued(context, id, { state: "cancelled" });
     return { kind: "CANCELLED", lot: id, stopped };
   }
 
-  /** Ends what waits of a lot; returns how many items that were. */
-  #endWaiting(step: Step, id: string, final: Final): number {
-    const { ledger } = step;
+  /** Ends all queued items of a lot; returns how many there were. */
+  #finishQueued(context: Context, id: string, final: FinalState): number {
+    const { ledger } = context;
     const season = ledger.read<Lot>(lotKey(id))!.season ?? "";
     const ended = new Set<string>();
     for (const { key } of this.#waiting.of(season)) {
       const item = ledger.read<Item>(key)!;
       if (item.lot !== id) continue;
-      this.#finish(step, { key, item }, final);
+      this.#finish(context, { key, item }, final);
       ended.add(key);
     }
     this.#waiting.remove(season, ended);
     return ended.size;
   }
 
-  #reset(step: Step, items: readonly { lot: string; index: number; go: number }[]): QueueResult {
+  /** Requeues items whose claims lost their dispatcher. */
+  #reset(
+    context: Context,
+    items: readonly { lot: string; index: number; go: number }[],
+  ): QueueResult {
     let count = 0;
     for (const { lot, index, go } of items) {
-      const ended = this.#record(step, {
+      const result = this.#record(context, {
         kind: "record",
         lot,
         index,
         go,
         ending: { kind: "broken" },
       });
-      if (ended.kind === "RECORDED") count += 1;
+      if (result.kind === "RECORDED") count += 1;
     }
     return { kind: "DONE", count };
   }
 
-  #expire(step: Step): QueueResult {
-    const { ledger, time } = step;
-    let count = this.passes.expire(step);
+  /** Fails the lots past their deadline and deletes records past their retention. */
+  #expire(context: Context): QueueResult {
+    const { ledger, time } = context;
+    let count = this.passes.expire(context);
     for (const id of [...this.#lots]) {
       const lot = ledger.read<Lot>(lotKey(id))!;
       if (!isExpired(lot, time)) continue;
       count += 1;
-      if (lot.finishedAt === undefined) this.#giveUp(step, lot);
-      else this.#bury(ledger, lot, lot.finishedAt);
+      if (lot.finishedAt === undefined) this.#failOpenItems(context, lot);
+      else this.#replaceWithTombstone(ledger, lot, lot.finishedAt);
     }
-    return { kind: "DONE", count: count + this.#stones.forgetDue(ledger, time) };
+    return { kind: "DONE", count: count + this.#tombstones.forgetDue(ledger, time) };
   }
 
-  /** The time of a lot has run out: what is not finished ends as failed. */
-  #giveUp(step: Step, { id, items }: Lot): void {
-    this.#endWaiting(step, id, ranOut);
+  /** The lot's deadline has passed: its unfinished items fail. */
+  #failOpenItems(context: Context, { id, items }: Lot): void {
+    this.#finishQueued(context, id, deadlineExceeded);
     for (let index = 0; index < items; index += 1) {
       const key = itemKey(id, index);
-      const item = step.ledger.read<Item>(key)!;
+      const item = context.ledger.read<Item>(key)!;
       if (item.state !== "processing") continue;
       this.#processing.delete(key);
-      this.#finish(step, { key, item }, ranOut);
+      this.#finish(context, { key, item }, deadlineExceeded);
     }
   }
 
-  /** Results are no longer kept; only that the lot was here. */
-  #bury(ledger: Ledger, lot: Lot, finishedAt: number): void {
+  /** Deletes a lot and its results after their retention; a tombstone remains. */
+  #replaceWithTombstone(ledger: Ledger, lot: Lot, finishedAt: number): void {
     for (let index = 0; index < lot.items; index += 1) ledger.remove(itemKey(lot.id, index));
     ledger.remove(lotKey(lot.id));
     this.#lots.delete(lot.id);
-    this.#stones.put(ledger, {
+    this.#tombstones.put(ledger, {
       lot: lot.id,
       way: lot.way,
       body: lot.body,
@@ -420,14 +435,14 @@
     });
   }
 
-  #status({ ledger, time }: Step, id: string): QueueResult {
+  #status({ ledger, time }: Context, id: string): QueueResult {
     const lot = ledger.read<Lot>(lotKey(id));
     if (lot !== undefined) return { kind: "LOT", lot, items: itemViews(ledger, lot), now: time };
-    const stone = this.#stones.read(ledger, id);
-    return stone === undefined ? { kind: "UNKNOWN_LOT" } : gone(stone, time);
+    const tombstone = this.#tombstones.read(ledger, id);
+    return tombstone === undefined ? { kind: "UNKNOWN_LOT" } : goneResult(tombstone, time);
   }
 
-  #count({ ledger, time }: Step): QueueResult {
+  #count({ ledger, time }: Context): QueueResult {
     const limited = limitedBucket(ledger);
     return {
       kind: "COUNT",
@@ -435,7 +450,7 @@
       processing: this.#processing.size + this.passes.processing().size,
       lots: this.#lots.size + this.passes.lots,
       tokens: limited === undefined ? 0 : bucket.level(limited.held, limited.limits, time),
-      limits: ledger.read<Share>(keyLimits)?.limits,
+      limits: ledger.read<Share>(limitsKey)?.limits,
       open: Object.fromEntries(this.open()),
     };
   }
--- a/packages/parts/src/pass-messages.ts
+++ b/packages/parts/src/pass-messages.ts
@@ -1,97 +1,121 @@
-/** On whose behalf something is done, where the configuration names tenants. */
+/** Messages about lots (batch jobs) on passages (configured routes), between access nodes and the owner of a queue. */
+
+/** The tenant on whose behalf a request is made, if the configuration defines tenants. */
 export interface Tenancy {
-  /** Undefined on a passage that needs no credential, where the caller is not known. */
+  /** Undefined for anonymous callers, on a passage that needs no credential. */
   readonly tenant: string | undefined;
 }
 
-/** One item of a lot, as it was handed in. */
+/** One item of a lot, as submitted. */
 export interface PassEntry {
   /** The caller's id of the item. */
   readonly id: string;
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating header names and values. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
-  /** Prompt's tokens plus the most to be put out. */
+  /** Tokens of the prompt plus the maximum number of output tokens. */
   readonly tokens: number;
   readonly model: string | undefined;
-  /** Parts of its prompt that others may share, by name and tokens. */
+  /** Parts of the prompt that other prompts may share, each with its name and size in tokens. */
   readonly parts?: readonly { readonly name: string; readonly size: number }[];
 }
 
-/** A drawn item; only who holds its newest number may settle it (docs/design.md §5.3). */
+/** A claim on a dequeued item. Only the holder of the item's newest claim may settle it (docs/design.md §5.3). */
 export interface Claim {
   readonly lot: string;
+  /** Position of the item in the submitted lot. */
   readonly index: number;
+  /** Number of the attempt, which grows with each claim on the item. */
   readonly go: number;
 }
 
-/** How one claim ended; `text` is what came after event `upTo` of the grant, `events` how many events it holds. */
+/**
+ * How one claim ended. `text` is the output received in this attempt (after event `upTo` of the claimed task), `events` the
+ * number of events in it.
+ */
 export type PassEnding =
   | { readonly kind: "solved"; readonly text: string; readonly events: number }
-  /** The runner says that it can never be done. */
+  /** The runner reports that the item can never succeed; it fails at once. */
   | { readonly kind: "never" }
-  /** The runner itself failed: counted up to the passage's most. */
+  /** The runner itself failed; the item fails after the passage's maximum number of such attempts. */
   | { readonly kind: "trouble" }
-  /** Sent, and the link broke after event `upTo`: back in its place, token spent, what came is kept. */
+  /** Sent, but the connection broke after event `upTo`: requeued at its position, token spent, partial output kept. */
   | {
       readonly kind: "broken";
       readonly text: string;
       readonly events: number;
       readonly upTo: number | undefined;
     }
-  /** Never sent, or refused outright: back in its place, token restored. */
+  /** Never sent, or refused by the runner: requeued at its position, token returned. */
   | { readonly kind: "unsent" };
 
-/** Commands on lots of passages, for a queue's machine. */
+/** Commands on lots of passages, for a queue's state machine. */
 export type PassCommand =
-  /** allowance in tokens, 0 for none; keeps and within in ms. These and goesMost are entered by the owner from its configuration. */
+  /**
+   * Submits a lot. The owner fills in these fields from its configuration: `allowance`, the maximum number of unfinished
+   * tokens (0: unlimited); `goesMost`, the maximum number of attempts in which the runner fails; `keeps`, the time in ms after
+   * which unfinished items fail; `within`, the target time in ms.
+   */
   | {
       kind: "hand-in";
       lot: string;
       way: string;
       host: string;
-      /** Whose lot it is; nobody's where it is left out, and so from an earlier release. */
+      /** Owner of the lot; undefined if no tenants are configured, and from earlier releases. */
       tenant?: string;
       entries: readonly PassEntry[];
       allowance: number;
       goesMost: number;
       keeps: number;
       within?: number;
-      /** Refused before for longer than it may take to be in time: it lets others pass from the start. */
+      /** It was refused for so long that it will miss its target time: its items yield to others from the start. */
       late?: boolean;
-      /** One sending of it, and whether earlier ones of the same may be on their way still: then a refusal holds for all of them. */
+      /** Id of this request; retransmissions have the same one. */
       ticket?: string;
+      /** Earlier transmissions may still arrive: a refusal then holds for all of them. */
       final?: boolean;
     }
-  /** One batch: the source's step for each prompt. able: passages whose runners have room at the dispatcher; others keep their place. */
-  /** holder: address of the dispatcher; by: this life of it. */
+  /**
+   * Dequeues up to `most` items, one token each. `able`: passages whose runners have free capacity as seen by the dispatcher;
+   * items of other passages stay queued. `holder`: address of the dispatcher; `by`: identity of its process (incarnation).
+   */
   | { kind: "draw"; holder: string; by?: string; most: number; able: readonly string[] }
+  /** Ends claims. */
   | { kind: "settle"; endings: readonly { claim: Claim; ending: PassEnding }[] }
-  /** reader: who asks for a lot, to whom another tenant's is not there; left out where the configuration names none, and by an earlier release. */
+  /**
+   * Ends a lot early. `reader`: the caller's tenant, which can't see the lots of other tenants; undefined if no tenants are
+   * configured, and from earlier releases.
+   */
   | { kind: "end"; lot: string; reader?: Tenancy }
-  /** The passage is gone from the configuration: its items end with it. */
+  /** The passage was removed from the configuration: its items fail. */
   | { kind: "drop-way"; way: string }
+  /** Reads listed results, beginning at position `from`. */
   | { kind: "results"; lot: string; from: number; reader?: Tenancy }
+  /** Reads the body of an unfinished item by the caller's id. */
   | { kind: "read-item"; lot: string; item: string; reader?: Tenancy };
 
-/** A prompt that was drawn, with all that its run needs. */
+/** A dequeued item with everything that is needed to run it. */
 export interface PassTask extends Claim {
   readonly way: string;
   readonly host: string;
-  /** Whose lot it is of. */
+  /** Owner of the lot. */
   readonly tenant?: string;
   readonly entry: PassEntry;
-  /** The run goes on after this event. */
+  /** The run resumes after this event; undefined if it starts from the beginning. */
   readonly upTo: number | undefined;
-  /** ms until it may be given up, from the stamping. */
+  /** Time in ms until the item may be given up, counted from the ledger time of this result. */
   readonly remaining: number;
 }
 
-/** What becomes of a command on lots of passages. */
+/** Results of commands on lots of passages. */
 export type PassResult =
+  /** The lot is accepted; `again`: it was known before. */
   | { kind: "HANDED"; lot: string; again: boolean }
-  /** final: no earlier sending of the same ticket will be taken. wait in ms, an estimate of the owner's. */
+  /**
+   * Refused for lack of capacity. `final`: no earlier transmission of the same ticket will be accepted either. `wait`: the
+   * owner's estimate in ms until there is free capacity.
+   */
   | {
       kind: "NO_ROOM";
       tokens: number;
@@ -100,20 +124,22 @@
       final?: boolean;
       wait?: number;
     }
+  /** `more`: why the batch ended; `wait`: time in ms until the next token, if known. */
   | {
       kind: "DRAWN";
       tasks: readonly PassTask[];
       more: "some" | "EMPTY" | "RATE_LIMITED";
       wait: number | undefined;
     }
-  /** freed: tokens that no longer wait. */
+  /** `listed`: lots with new results; `stale`: number of outdated claims; `freed`: tokens of the items that are now final. */
   | { kind: "SETTLED"; listed: readonly string[]; stale: number; freed: number }
+  /** `holders`: dispatchers that must abort running items of the lot. */
   | { kind: "ENDED"; lot: string; holders: readonly string[] }
   | { kind: "RESULTS"; lot: string; total: number; open: boolean; results: readonly ListedResult[] }
   | { kind: "BODY"; body: Uint8Array }
   | { kind: "UNKNOWN_LOT" };
 
-/** An item that ended, at its position in the lot. */
+/** The result of a finished item, at its position in the lot's list. */
 export interface ListedResult {
   readonly item: string;
   readonly state: "solved" | "failed";
--- a/packages/parts/src/pass-queue.ts
+++ b/packages/parts/src/pass-queue.ts
@@ -11,29 +11,35 @@
   PassTask,
 } from "./pass-messages.js";
 import {
-  bygonePrefix,
+  tombstonePrefix,
   claimOf,
-  handedKey,
-  isOpenTo,
-  numbered,
+  passLotKey,
+  isVisibleTo,
+  indexedKey,
   taskKey,
-  type BygoneLot,
+  type PassTombstone,
   type PartialText,
   type PassLot,
   type TaskRecord,
 } from "./pass-records.js";
-import { lotOf, mayRun, restOf, waitingTask, yields, type WaitingTask } from "./pass-turns.js";
-import { keyBucket, keySequence, limitedBucket, restoreToken, type Step } from "./queue-bucket.js";
+import { newLot, mayRun, retryDelay, waitingTask, yields, type WaitingTask } from "./pass-turns.js";
+import {
+  bucketKey,
+  sequenceKey,
+  limitedBucket,
+  restoreToken,
+  type Context,
+} from "./queue-bucket.js";
 import { RefusedTickets } from "./refused-tickets.js";
 import { Tombstones } from "./tombstones.js";
 import { WaitingItems } from "./waiting.js";
 import { WaitingTokens } from "./waiting-tokens.js";
 
-type HandIn = Extract<PassCommand, { kind: "hand-in" }>;
-type ReadResults = Extract<PassCommand, { kind: "results" }>;
-type DrawCommand = Extract<PassCommand, { kind: "draw" }>;
+type SubmitCommand = Extract<PassCommand, { kind: "hand-in" }>;
+type ResultsCommand = Extract<PassCommand, { kind: "results" }>;
+type DequeueCommand = Extract<PassCommand, { kind: "draw" }>;
 
-/** An item that has not ended, with its records. */
+/** An unfinished item with its records. */
 interface OpenTask {
   readonly key: string;
   readonly index: number;
@@ -41,12 +47,12 @@
   readonly lot: PassLot;
 }
 
-/** How an item ended for good. */
-type Final = Pick<ListedResult, "state" | "text">;
+/** The final outcome of an item. */
+type FinalState = Pick<ListedResult, "state" | "text">;
 
-const failed: Final = { state: "failed", text: "" };
+const failed: FinalState = { state: "failed", text: "" };
 
-function joined(
+function concatenate(
   left: { text: string; events: number } | undefined,
   right: { text: string; events: number },
 ): { text: string; events: number } {
@@ -55,39 +61,43 @@
   return { text: `${left.text}\n${right.text}`, events: left.events + right.events };
 }
 
-function sinceOf({ since }: BygoneLot): number {
+function endedAt({ since }: PassTombstone): number {
   return since;
 }
 
-/** Lots of passages in one queue: the same ledger and bucket, one atomic step each at its owner (docs/design.md §13.7). */
+/**
+ * Lots (batch jobs) that were submitted on passages (configured routes), within one queue. They share the queue's ledger and
+ * token bucket with the other lots, and the queue's owner applies each command atomically (docs/design.md §13.7).
+ */
 export class PassQueue {
-  /** Derived from the ledger: what waits, by passage. */
+  /** Queued items by passage; derived from the ledger. */
   #waiting = new WaitingItems<WaitingTask>();
-  /** Tokens of what has not ended. */
+  /** Token counts of unfinished items. */
   #tokens = new WaitingTokens();
+  /** Active claims by item key. */
   #processing = new Map<string, { go: number; holder: string; by: string | undefined }>();
-  /** Moment at which time alone ends something of each lot: its items are given up, or it is no longer kept. */
-  #dueAt = new Map<string, number>();
-  #soonest = Number.POSITIVE_INFINITY;
-  #bygones = new Tombstones<BygoneLot>(bygonePrefix, sinceOf);
-  #refused = new RefusedTickets();
+  /** Next expiry of each lot, by lot: its unfinished items fail, or its results are deleted. */
+  #expiresAt = new Map<string, number>();
+  #earliestExpiry = Number.POSITIVE_INFINITY;
+  #tombstones = new Tombstones<PassTombstone>(tombstonePrefix, endedAt);
+  #refusedTickets = new RefusedTickets();
 
   rebuild(ledger: Ledger): void {
     this.#waiting.clear();
     this.#tokens.clear();
     this.#processing.clear();
-    this.#dueAt.clear();
-    this.#soonest = Number.POSITIVE_INFINITY;
-    for (const [, lot] of ledger.under<PassLot>("handed/")) this.#watch(lot);
+    this.#expiresAt.clear();
+    this.#earliestExpiry = Number.POSITIVE_INFINITY;
+    for (const [, lot] of ledger.under<PassLot>("handed/")) this.#trackExpiry(lot);
     for (const [key, task] of ledger.under<TaskRecord>("task/")) {
-      const lot = ledger.read<PassLot>(handedKey(claimOf(key, 0).lot))!;
+      const lot = ledger.read<PassLot>(passLotKey(claimOf(key, 0).lot))!;
       this.#tokens.add(lot.way, lot.tenant, task.tokens);
       if (task.state === "queued") this.#waiting.push(lot.way, waitingTask(key, task, lot));
       else this.#processing.set(key, { go: task.go, holder: task.holder!, by: task.by });
     }
     this.#waiting.sort();
-    this.#bygones.rebuild(ledger);
-    this.#refused.rebuild(ledger);
+    this.#tombstones.rebuild(ledger);
+    this.#refusedTickets.rebuild(ledger);
   }
 
   get waiting(): number {
@@ -95,10 +105,10 @@
   }
 
   get lots(): number {
-    return this.#dueAt.size;
+    return this.#expiresAt.size;
   }
 
-  /** Claims under way, for the owner's watch over signs of life. */
+  /** Active claims by item key; the queue's owner checks them for missing heartbeats. */
   processing(): ReadonlyMap<
     string,
     { readonly go: number; readonly holder: string; readonly by: string | undefined }
@@ -106,68 +116,70 @@
     return this.#processing;
   }
 
-  /** Passages that have something unfinished here. */
+  /** Passages with unfinished items in this queue. */
   ways(): ReadonlySet<string> {
-    const found = new Set(this.#tokens.ways());
-    for (const way of this.#waiting.groups()) if (this.#waiting.of(way).length > 0) found.add(way);
-    return found;
+    const passages = new Set(this.#tokens.passages());
+    for (const passage of this.#waiting.groups())
+      if (this.#waiting.of(passage).length > 0) passages.add(passage);
+    return passages;
   }
 
-  /** Prompts of some passages that could be drawn now, counted up to a bound. */
-  ready(able: readonly string[], time: number, most: number): number {
+  /** Number of items of the given passages that can be dequeued now, counted up to a limit. */
+  ready(passages: readonly string[], time: number, limit: number): number {
     let count = 0;
-    for (const way of able)
-      for (const waiting of this.#waiting.of(way)) {
-        if (count >= most) return count;
-        if (mayRun(waiting, time)) count += 1;
+    for (const passage of passages)
+      for (const item of this.#waiting.of(passage)) {
+        if (count >= limit) return count;
+        if (mayRun(item, time)) count += 1;
       }
     return count;
   }
 
-  /** Whether a position of a lot is listed, or will never be for who asks: what a held read waits for. */
-  isTold(ledger: Ledger, { lot, from, reader }: ReadResults): boolean {
-    const held = ledger.read<PassLot>(handedKey(lot));
-    if (held === undefined || !isOpenTo(held, reader)) return true;
-    return held.listed > from || held.open === 0;
+  /** Whether a held read can be answered: the requested position is listed, or the reader will never see it. */
+  isTold(ledger: Ledger, { lot: id, from, reader }: ResultsCommand): boolean {
+    const lot = ledger.read<PassLot>(passLotKey(id));
+    if (lot === undefined || !isVisibleTo(lot, reader)) return true;
+    return lot.listed > from || lot.open === 0;
   }
 
-  #watch(lot: PassLot): void {
-    const at = lot.finishedAt === undefined ? lot.until : lot.finishedAt + constants.lotKept;
-    this.#dueAt.set(lot.id, at);
-    this.#soonest = Math.min(this.#soonest, at);
+  #trackExpiry(lot: PassLot): void {
+    const expiry = lot.finishedAt === undefined ? lot.until : lot.finishedAt + constants.lotKept;
+    this.#expiresAt.set(lot.id, expiry);
+    this.#earliestExpiry = Math.min(this.#earliestExpiry, expiry);
   }
 
-  #keep(ledger: Ledger, lot: PassLot): void {
-    ledger.put(handedKey(lot.id), lot);
-    this.#watch(lot);
+  #saveLot(ledger: Ledger, lot: PassLot): void {
+    ledger.put(passLotKey(lot.id), lot);
+    this.#trackExpiry(lot);
   }
 
-  /** All items or none; the same id again is the same lot. */
-  handIn(step: Step, command: HandIn): PassResult {
-    const { ledger, time } = step;
-    const { lot, way, tenant, entries } = command;
+  /** Accepts all items of a lot or none. Idempotent: a known lot id is acknowledged again. */
+  submit(context: Context, command: SubmitCommand): PassResult {
+    const { ledger, time } = context;
+    const { lot, way: passage, tenant, entries } = command;
     const isKnown =
-      ledger.read(handedKey(lot)) !== undefined || this.#bygones.read(ledger, lot) !== undefined;
+      ledger.read(passLotKey(lot)) !== undefined ||
+      this.#tombstones.read(ledger, lot) !== undefined;
     if (isKnown) return { kind: "HANDED", lot, again: true };
     let tokens = 0;
     for (const entry of entries) tokens += entry.tokens;
-    const refused = this.#refused.has(ledger, command.ticket);
-    const waiting = this.#tokens.of(way, tenant);
-    if (refused || (command.allowance > 0 && waiting + tokens > command.allowance)) {
+    const isRefused = this.#refusedTickets.has(ledger, command.ticket);
+    const waiting = this.#tokens.of(passage, tenant);
+    if (isRefused || (command.allowance > 0 && waiting + tokens > command.allowance)) {
       const { allowance, final, ticket } = command;
-      if (final === true && !refused) this.#refused.add(ledger, ticket!, time);
-      const holds = final === true ? { final } : {};
-      return { kind: "NO_ROOM", tokens, waiting, allowance, ...holds };
+      if (final === true && !isRefused) this.#refusedTickets.add(ledger, ticket!, time);
+      const finality = final === true ? { final } : {};
+      return { kind: "NO_ROOM", tokens, waiting, allowance, ...finality };
     }
-    const record = lotOf(command, time);
-    this.#enterItems(ledger, record, entries);
-    this.#tokens.add(way, tenant, tokens);
-    this.#keep(ledger, record);
+    const record = newLot(command, time);
+    this.#addItems(ledger, record, entries);
+    this.#tokens.add(passage, tenant, tokens);
+    this.#saveLot(ledger, record);
     return { kind: "HANDED", lot, again: false };
   }
 
-  #enterItems(ledger: Ledger, lot: PassLot, entries: readonly PassEntry[]): void {
-    let sequence = ledger.read<number>(keySequence) ?? 1;
+  #addItems(ledger: Ledger, lot: PassLot, entries: readonly PassEntry[]): void {
+    let sequence = ledger.read<number>(sequenceKey) ?? 1;
     for (const [index, entry] of entries.entries()) {
       const key = taskKey(lot.id, index);
       const task: TaskRecord = {
@@ -178,206 +190,211 @@
         tokens: entry.tokens,
       };
       ledger.put(key, task);
-      ledger.put(numbered("body", lot.id, index), entry);
+      ledger.put(indexedKey("body", lot.id, index), entry);
       this.#waiting.push(lot.way, waitingTask(key, task, lot));
       sequence += 1;
     }
-    ledger.put(keySequence, sequence);
+    ledger.put(sequenceKey, sequence);
   }
 
-  /** The source's step for each prompt, until the batch is full, nothing waits or no token is left. */
-  draw(step: Step, command: DrawCommand): PassResult {
-    const { ledger, time } = step;
+  /** Dequeues items, one token each, until the batch is full, the queue is empty or the bucket has no token left. */
+  dequeue(context: Context, command: DequeueCommand): PassResult {
+    const { ledger, time } = context;
     const limited = limitedBucket(ledger);
     if (limited === undefined)
       return { kind: "DRAWN", tasks: [], more: "RATE_LIMITED", wait: undefined };
-    let held: Bucket = limited.held;
+    let current: Bucket = limited.held;
     const tasks: PassTask[] = [];
-    const take = (): OpenTask | undefined => this.#first(step, command.able);
+    const takeNext = (): OpenTask | undefined => this.#takeNext(context, command.able);
     let more: "some" | "EMPTY" | "RATE_LIMITED" = "some";
     let wait: number | undefined;
     while (tasks.length < command.most) {
-      const drawn = bucket.draw(held, limited.limits, time, take);
+      const drawn = bucket.draw(current, limited.limits, time, takeNext);
       if (drawn.kind !== "TAKEN") {
         more = drawn.kind;
         if (drawn.kind === "RATE_LIMITED") wait = drawn.wait;
         break;
       }
-      held = drawn.bucket;
-      tasks.push(this.#claim(step, drawn.prompt, command));
+      current = drawn.bucket;
+      tasks.push(this.#claim(context, drawn.prompt, command));
     }
-    if (tasks.length > 0) ledger.put(keyBucket, held);
+    if (tasks.length > 0) ledger.put(bucketKey, current);
     return { kind: "DRAWN", tasks, more, wait };
   }
 
-  /** The first in the queue whose passage has runners, and that can still be in time; else the first. */
-  #first({ ledger, time }: Step, able: readonly string[]): OpenTask | undefined {
-    const taken = this.#waiting.takeFirst(able, {
-      mayRun: (waiting) => mayRun(waiting, time),
-      yields: (waiting) => yields(waiting, time),
+  /**
+   * Takes the first eligible item of the given passages (those with available runners) that can still meet its target
+   * time, else the first eligible one.
+   */
+  #takeNext({ ledger, time }: Context, passages: readonly string[]): OpenTask | undefined {
+    const taken = this.#waiting.takeFirst(passages, {
+      mayRun: (item) => mayRun(item, time),
+      yields: (item) => yields(item, time),
     });
-    return taken === undefined ? undefined : this.#openTask(ledger, taken.key);
+    return taken === undefined ? undefined : this.#readTask(ledger, taken.key);
   }
 
-  #openTask(ledger: Ledger, key: string): OpenTask | undefined {
+  #readTask(ledger: Ledger, key: string): OpenTask | undefined {
     const { lot: id, index } = claimOf(key, 0);
     const task = ledger.read<TaskRecord>(key);
-    const lot = ledger.read<PassLot>(handedKey(id));
+    const lot = ledger.read<PassLot>(passLotKey(id));
     return task === undefined || lot === undefined ? undefined : { key, index, task, lot };
   }
 
-  #claim({ ledger, time }: Step, open: OpenTask, { holder, by }: DrawCommand): PassTask {
+  #claim({ ledger, time }: Context, open: OpenTask, { holder, by }: DequeueCommand): PassTask {
     const { key, index, task, lot } = open;
-    const go = task.go + 1;
+    const attempt = task.go + 1;
     ledger.put(key, {
       ...task,
       state: "processing",
-      go,
+      go: attempt,
       holder,
       ...(by === undefined ? {} : { by }),
     } satisfies TaskRecord);
-    this.#processing.set(key, { go, holder, by });
+    this.#processing.set(key, { go: attempt, holder, by });
     return {
       lot: lot.id,
       index,
-      go,
+      go: attempt,
       way: lot.way,
       host: lot.host,
       ...(lot.tenant === undefined ? {} : { tenant: lot.tenant }),
-      entry: ledger.read<PassEntry>(numbered("body", lot.id, index))!,
-      upTo: ledger.read<PartialText>(numbered("text", lot.id, index))?.upTo,
+      entry: ledger.read<PassEntry>(indexedKey("body", lot.id, index))!,
+      upTo: ledger.read<PartialText>(indexedKey("text", lot.id, index))?.upTo,
       remaining: lot.until - time,
     };
   }
 
-  /** Ends claims; those that are no longer the newest of their item change nothing. */
-  settle(step: Step, { endings }: Extract<PassCommand, { kind: "settle" }>): PassResult {
+  /** Ends claims. A claim that is no longer the newest of its item is stale and changes nothing. */
+  settle(context: Context, { endings }: Extract<PassCommand, { kind: "settle" }>): PassResult {
     const listed = new Set<string>();
     let stale = 0;
     let freed = 0;
     for (const { claim, ending } of endings) {
-      const open = this.#claimed(step.ledger, claim);
+      const open = this.#findClaimed(context.ledger, claim);
       if (open === undefined) {
         stale += 1;
         continue;
       }
       this.#processing.delete(open.key);
-      if (!this.#settleOne(step, open, ending)) continue;
+      if (!this.#applyEnding(context, open, ending)) continue;
       listed.add(open.lot.id);
       freed += open.task.tokens;
     }
     return { kind: "SETTLED", listed: [...listed], stale, freed };
   }
 
-  #claimed(ledger: Ledger, claim: Claim): OpenTask | undefined {
-    const open = this.#openTask(ledger, taskKey(claim.lot, claim.index));
+  #findClaimed(ledger: Ledger, claim: Claim): OpenTask | undefined {
+    const open = this.#readTask(ledger, taskKey(claim.lot, claim.index));
     return open?.task.state === "processing" && open.task.go === claim.go ? open : undefined;
   }
 
-  /** True where the item is listed now. */
-  #settleOne(step: Step, open: OpenTask, ending: PassEnding): boolean {
+  /** Returns whether the item is now final and listed. */
+  #applyEnding(context: Context, open: OpenTask, ending: PassEnding): boolean {
     switch (ending.kind) {
       case "solved": {
-        const before = step.ledger.read<PartialText>(numbered("text", open.lot.id, open.index));
-        this.#list(step, open, { state: "solved", text: joined(before, ending).text });
+        const partial = context.ledger.read<PartialText>(
+          indexedKey("text", open.lot.id, open.index),
+        );
+        this.#finish(context, open, { state: "solved", text: concatenate(partial, ending).text });
         return true;
       }
       case "never":
-        this.#list(step, open, failed);
+        this.#finish(context, open, failed);
         return true;
       case "trouble": {
         const troubles = open.task.troubles + 1;
         if (troubles < open.lot.goesMost) {
-          this.#giveBack(step.ledger, { ...open, task: { ...open.task, troubles, breaks: 0 } });
+          this.#requeue(context.ledger, { ...open, task: { ...open.task, troubles, breaks: 0 } });
           return false;
         }
-        this.#list(step, open, failed);
+        this.#finish(context, open, failed);
         return true;
       }
       case "broken":
-        this.#broke(step, open, ending);
+        this.#requeueBroken(context, open, ending);
         return false;
       case "unsent":
-        restoreToken(step);
-        this.#giveBack(step.ledger, open);
+        restoreToken(context);
+        this.#requeue(context.ledger, open);
         return false;
     }
   }
 
-  /** What came before the break is kept; an item that breaks twice on end without an event rests. */
-  #broke(
-    { ledger, time }: Step,
+  /** Keeps the partial output and requeues the item. After two consecutive broken runs without an event, the item backs off. */
+  #requeueBroken(
+    { ledger, time }: Context,
     open: OpenTask,
     ending: Extract<PassEnding, { kind: "broken" }>,
   ): void {
-    const textKey = numbered("text", open.lot.id, open.index);
-    const hasNews = ending.events > 0 && ending.upTo !== undefined;
-    if (hasNews)
+    const textKey = indexedKey("text", open.lot.id, open.index);
+    const hasNewEvents = ending.events > 0 && ending.upTo !== undefined;
+    if (hasNewEvents)
       ledger.put(textKey, {
-        ...joined(ledger.read<PartialText>(textKey), ending),
+        ...concatenate(ledger.read<PartialText>(textKey), ending),
         upTo: ending.upTo,
       } satisfies PartialText);
-    const breaks = hasNews ? 0 : (open.task.breaks ?? 0) + 1;
-    const restsUntil = breaks < 2 ? 0 : time + restOf(breaks);
-    this.#giveBack(ledger, { ...open, task: { ...open.task, breaks, restsUntil } });
+    const breaks = hasNewEvents ? 0 : (open.task.breaks ?? 0) + 1;
+    const restsUntil = breaks < 2 ? 0 : time + retryDelay(breaks);
+    this.#requeue(ledger, { ...open, task: { ...open.task, breaks, restsUntil } });
   }
 
-  /** Back to its own place in the queue. */
-  #giveBack(ledger: Ledger, { key, task: before, lot }: OpenTask): void {
+  /** Puts the item back at its original position in the queue. */
+  #requeue(ledger: Ledger, { key, task: before, lot }: OpenTask): void {
     const { holder: _holder, by: _by, ...task } = before;
-    const back: TaskRecord = { ...task, state: "queued" };
-    ledger.put(key, back);
-    this.#waiting.giveBack(lot.way, waitingTask(key, back, lot));
+    const queued: TaskRecord = { ...task, state: "queued" };
+    ledger.put(key, queued);
+    this.#waiting.giveBack(lot.way, waitingTask(key, queued, lot));
   }
 
-  /** The item ends: it gets the next position of its lot, for good. */
-  #list({ ledger, time }: Step, open: OpenTask, final: Final): void {
+  /** Ends the item and appends its result to the lot's list; the position is permanent. */
+  #finish({ ledger, time }: Context, open: OpenTask, final: FinalState): void {
     const { id } = open.lot;
-    const lot = ledger.read<PassLot>(handedKey(id))!;
-    const { id: item } = ledger.read<PassEntry>(numbered("body", id, open.index))!;
-    ledger.put(numbered("result", id, lot.listed), { item, ...final } satisfies ListedResult);
-    this.#clear(ledger, open);
+    const lot = ledger.read<PassLot>(passLotKey(id))!;
+    const { id: item } = ledger.read<PassEntry>(indexedKey("body", id, open.index))!;
+    ledger.put(indexedKey("result", id, lot.listed), { item, ...final } satisfies ListedResult);
+    this.#removeRecords(ledger, open);
     this.#tokens.add(lot.way, lot.tenant, -open.task.tokens);
-    const left = lot.open - 1;
-    this.#keep(ledger, {
+    const remaining = lot.open - 1;
+    this.#saveLot(ledger, {
       ...lot,
-      open: left,
+      open: remaining,
       listed: lot.listed + 1,
-      ...(left === 0 ? { finishedAt: time } : {}),
+      ...(remaining === 0 ? { finishedAt: time } : {}),
     });
   }
 
-  #clear(ledger: Ledger, { key, lot, index }: OpenTask): void {
+  #removeRecords(ledger: Ledger, { key, lot, index }: OpenTask): void {
     ledger.remove(key);
-    ledger.remove(numbered("body", lot.id, index));
-    ledger.remove(numbered("text", lot.id, index));
+    ledger.remove(indexedKey("body", lot.id, index));
+    ledger.remove(indexedKey("text", lot.id, index));
     this.#processing.delete(key);
   }
 
-  /** Waiting items end at once and are not listed; those under way are dropped by who holds them. */
+  /** Ends a lot: its unfinished items are removed and never listed. Returns the dispatchers that must abort running items. */
   end(
-    { ledger, time }: Step,
+    { ledger, time }: Context,
     { lot: id, reader }: Extract<PassCommand, { kind: "end" }>,
   ): PassResult {
-    const lot = ledger.read<PassLot>(handedKey(id));
-    const known = lot ?? this.#bygones.read(ledger, id);
-    if (known === undefined || !isOpenTo(known, reader)) return { kind: "UNKNOWN_LOT" };
+    const lot = ledger.read<PassLot>(passLotKey(id));
+    const known = lot ?? this.#tombstones.read(ledger, id);
+    if (known === undefined || !isVisibleTo(known, reader)) return { kind: "UNKNOWN_LOT" };
     if (lot === undefined) return { kind: "ENDED", lot: id, holders: [] };
     if (lot.open === 0) return { kind: "ENDED", lot: id, holders: [] };
     const holders = new Set<string>();
     const ended = new Set<string>();
-    for (const open of this.#unfinished(ledger, lot)) {
+    for (const open of this.#openTasks(ledger, lot)) {
       if (open.task.holder !== undefined) holders.add(open.task.holder);
       ended.add(open.key);
       this.#tokens.add(lot.way, lot.tenant, -open.task.tokens);
-      this.#clear(ledger, open);
+      this.#removeRecords(ledger, open);
     }
     this.#waiting.remove(lot.way, ended);
-    this.#keep(ledger, { ...lot, open: 0, ended: true, finishedAt: time });
+    this.#saveLot(ledger, { ...lot, open: 0, ended: true, finishedAt: time });
     return { kind: "ENDED", lot: id, holders: [...holders] };
   }
 
-  #unfinished(ledger: Ledger, lot: PassLot): OpenTask[] {
+  #openTasks(ledger: Ledger, lot: PassLot): OpenTask[] {
     const found: OpenTask[] = [];
     for (let index = 0; index < lot.total; index += 1) {
       const key = taskKey(lot.id, index);
@@ -387,55 +404,61 @@
     return found;
   }
 
-  /** Everything unfinished of a lot is given up, and listed so. */
-  #giveUp(step: Step, lot: PassLot): void {
+  /** Ends all unfinished items of a lot as failed and lists them. */
+  #failOpenItems(context: Context, lot: PassLot): void {
     const ended = new Set<string>();
-    for (const open of this.#unfinished(step.ledger, lot)) {
+    for (const open of this.#openTasks(context.ledger, lot)) {
       ended.add(open.key);
-      this.#list(step, open, failed);
+      this.#finish(context, open, failed);
     }
     this.#waiting.remove(lot.way, ended);
   }
 
-  /** The passage is gone: whatever of its lots is unfinished ends as failed. */
-  dropWay(step: Step, way: string): PassResult {
+  /** The passage was removed from the configuration: all unfinished items of its lots fail. */
+  dropPassage(context: Context, passage: string): PassResult {
     const listed: string[] = [];
-    for (const id of this.#dueAt.keys()) {
-      const lot = step.ledger.read<PassLot>(handedKey(id))!;
-      if (lot.way !== way || lot.open === 0) continue;
-      this.#giveUp(step, lot);
+    for (const id of this.#expiresAt.keys()) {
+      const lot = context.ledger.read<PassLot>(passLotKey(id))!;
+      if (lot.way !== passage || lot.open === 0) continue;
+      this.#failOpenItems(context, lot);
       listed.push(id);
     }
     return { kind: "SETTLED", listed, stale: 0, freed: 0 };
   }
 
-  /** Whether time alone has something to do. */
-  due(time: number): boolean {
-    return this.#soonest <= time || this.#bygones.isDue(time) || this.#refused.isDue(time);
+  /** Whether `expire` has something to do at this time. */
+  isExpiryDue(time: number): boolean {
+    return (
+      this.#earliestExpiry <= time ||
+      this.#tombstones.isDue(time) ||
+      this.#refusedTickets.isDue(time)
+    );
   }
 
-  /** Gives up and forgets what time has come for; returns how much. */
-  expire(step: Step): number {
-    const { ledger, time } = step;
-    let count = this.#refused.forgetDue(ledger, time);
-    for (const [id, at] of [...this.#dueAt]) {
-      if (at > time) continue;
+  /** Fails overdue items and deletes records past their retention; returns the number of affected lots, tickets and tombstones. */
+  expire(context: Context): number {
+    const { ledger, time } = context;
+    let count = this.#refusedTickets.forgetDue(ledger, time);
+    for (const [id, expiry] of [...this.#expiresAt]) {
+      if (expiry > time) continue;
       count += 1;
-      const lot = ledger.read<PassLot>(handedKey(id))!;
-      if (lot.finishedAt === undefined) this.#giveUp(step, lot);
-      else this.#bury(ledger, lot, lot.finishedAt);
+      const lot = ledger.read<PassLot>(passLotKey(id))!;
+      if (lot.finishedAt === undefined) this.#failOpenItems(context, lot);
+      else this.#replaceWithTombstone(ledger, lot, lot.finishedAt);
     }
-    this.#soonest = Number.POSITIVE_INFINITY;
-    for (const at of this.#dueAt.values()) this.#soonest = Math.min(this.#soonest, at);
-    return count + this.#bygones.forgetDue(ledger, time);
+    this.#earliestExpiry = Number.POSITIVE_INFINITY;
+    for (const expiry of this.#expiresAt.values())
+      this.#earliestExpiry = Math.min(this.#earliestExpiry, expiry);
+    return count + this.#tombstones.forgetDue(ledger, time);
   }
 
-  /** Results are no longer kept; only that the lot was here. */
-  #bury(ledger: Ledger, { id, listed, tenant }: PassLot, since: number): void {
-    for (let at = 0; at < listed; at += 1) ledger.remove(numbered("result", id, at));
-    ledger.remove(handedKey(id));
-    this.#dueAt.delete(id);
-    this.#bygones.put(ledger, {
+  /** Deletes a lot and its results after their retention; a tombstone remains. */
+  #replaceWithTombstone(ledger: Ledger, { id, listed, tenant }: PassLot, since: number): void {
+    for (let position = 0; position < listed; position += 1)
+      ledger.remove(indexedKey("result", id, position));
+    ledger.remove(passLotKey(id));
+    this.#expiresAt.delete(id);
+    this.#tombstones.put(ledger, {
       lot: id,
       since,
       ...(tenant === undefined ? {} : { tenant }),
--- a/packages/parts/src/pass-reads.ts
+++ b/packages/parts/src/pass-reads.ts
@@ -1,20 +1,20 @@
 import { constants } from "./constants.js";
 import type { Ledger } from "./ledger.js";
 import type { ListedResult, PassCommand, PassEntry, PassResult } from "./pass-messages.js";
-import { handedKey, isOpenTo, numbered, type PassLot } from "./pass-records.js";
+import { passLotKey, isVisibleTo, indexedKey, type PassLot } from "./pass-records.js";
 
 /** Listed results from a position on, as many as fit into one message. */
 function results(
   ledger: Ledger,
   { lot: id, from, reader }: Extract<PassCommand, { kind: "results" }>,
 ): PassResult {
-  const lot = ledger.read<PassLot>(handedKey(id));
-  if (lot === undefined || !isOpenTo(lot, reader)) return { kind: "UNKNOWN_LOT" };
+  const lot = ledger.read<PassLot>(passLotKey(id));
+  if (lot === undefined || !isVisibleTo(lot, reader)) return { kind: "UNKNOWN_LOT" };
   const results: ListedResult[] = [];
   let size = 0;
-  for (let at = from; at < lot.listed; at += 1) {
-    const result = ledger.read<ListedResult>(numbered("result", id, at))!;
-    /** Bytes of a text are at most three for each of its units. */
+  for (let position = from; position < lot.listed; position += 1) {
+    const result = ledger.read<ListedResult>(indexedKey("result", id, position))!;
+    // A UTF-16 code unit takes at most three bytes in UTF-8.
     size += result.text.length * 3 + result.item.length * 3;
     if (results.length > 0 && size > constants.resultsMost) break;
     results.push(result);
@@ -22,19 +22,19 @@
   return { kind: "RESULTS", lot: id, total: lot.total, open: lot.open > 0, results };
 }
 
-/** The body of an unfinished item, by its client's id. */
+/** The body of an unfinished item, by the caller's id of the item. */
 function readItem(
   ledger: Ledger,
   { lot: id, item, reader }: Extract<PassCommand, { kind: "read-item" }>,
 ): PassResult {
-  const lot = ledger.read<PassLot>(handedKey(id));
-  if (lot === undefined || !isOpenTo(lot, reader)) return { kind: "UNKNOWN_LOT" };
+  const lot = ledger.read<PassLot>(passLotKey(id));
+  if (lot === undefined || !isVisibleTo(lot, reader)) return { kind: "UNKNOWN_LOT" };
   for (let index = 0; index < lot.total; index += 1) {
-    const entry = ledger.read<PassEntry>(numbered("body", id, index));
+    const entry = ledger.read<PassEntry>(indexedKey("body", id, index));
     if (entry?.id === item) return { kind: "BODY", body: entry.body };
   }
   return { kind: "UNKNOWN_LOT" };
 }
 
-/** Reads of lots on passages; they change no record. */
+/** Read-only commands on lots of passages. */
 export const passReads = { results, readItem };
--- a/packages/parts/src/pass-records.ts
+++ b/packages/parts/src/pass-records.ts
@@ -1,67 +1,83 @@
 import type { Claim, Tenancy } from "./pass-messages.js";
 
-/** A lot of items on a passage, as its queue keeps it. */
+/** A lot (batch job) that was submitted on a passage, as stored by its queue. */
 export interface PassLot {
   readonly id: string;
+  /** Name of the passage. */
   readonly way: string;
   readonly host: string;
-  /** Whose it is, whatever becomes of the credential with which it was handed in. */
+  /** Owner of the lot; later changes to the submitter's credentials don't affect it. */
   readonly tenant?: string;
+  /** Number of items. */
   readonly total: number;
+  /** Number of unfinished items. */
   readonly open: number;
+  /** Number of listed results. */
   readonly listed: number;
+  /** Maximum number of attempts in which the runner itself fails. */
   readonly goesMost: number;
-  /** Moment of the ledger from which its items may be given up. */
+  /** Ledger time from which unfinished items fail. */
   readonly until: number;
-  /** Moments from which its items let others pass, and from which they no longer do; none where no time is wanted. */
+  /** Ledger times between which its items yield to others in the queue; undefined for lots without a target time. */
   readonly yieldsFrom?: number;
   readonly yieldsUntil?: number;
+  /** Whether the client ended the lot. */
   readonly ended?: boolean;
   readonly finishedAt?: number;
 }
 
-/** State of an item that has not ended; body and text stand in records of their own, so that a claim rewrites neither. */
+/** State of an unfinished item. Its body and partial text have records of their own, so that a claim rewrites neither. */
 export interface TaskRecord {
   readonly sequence: number;
   readonly state: "queued" | "processing";
+  /** Number of the newest claim (attempt); 0 before the first. */
   readonly go: number;
+  /** Attempts in which the runner itself failed. */
   readonly troubles: number;
   readonly tokens: number;
+  /** Address of the dispatcher that holds the claim. */
   readonly holder?: string;
+  /** Identity of that dispatcher's process (incarnation). */
   readonly by?: string;
-  /** Runs on end that broke without an event, and the moment before which it is not drawn again for that. */
+  /** Consecutive runs that broke without an event. */
   readonly breaks?: number;
+  /** End of the backoff after such runs; the item isn't dequeued before. */
   readonly restsUntil?: number;
 }
 
-/** What a run that broke had put out. */
+/** Output of the runs that broke. */
 export interface PartialText {
   readonly text: string;
   readonly events: number;
+  /** Number of the last event received. */
   readonly upTo: number;
 }
 
-/** That a lot was here, and ended so long ago that it is no longer kept. */
-export interface BygoneLot {
+/** What remains of a lot after its results were deleted. */
+export interface PassTombstone {
   readonly lot: string;
+  /** Ledger time at which the lot ended. */
   readonly since: number;
   readonly tenant?: string;
 }
 
-/** Whether a lot is there for who asks: another tenant's is not. */
-export function isOpenTo({ tenant }: { readonly tenant?: string }, reader?: Tenancy): boolean {
+/** Whether a reader may see a lot: a tenant can't see the lots of other tenants. */
+export function isVisibleTo({ tenant }: { readonly tenant?: string }, reader?: Tenancy): boolean {
   return reader === undefined || tenant === undefined || tenant === reader.tenant;
 }
 
-/** Key of a lot. */
-export function handedKey(lot: string): string {
+/** Ledger key of a lot. */
+export function passLotKey(lot: string): string {
   return `handed/${lot}`;
 }
 
-export const bygonePrefix = "bygone/";
+export const tombstonePrefix = "bygone/";
 
-/** Names of lots are their callers': the number stands last and is of one length, so any name can be cut off again. */
-export function numbered(
+/**
+ * Ledger key of a record that belongs to an item or a list position. Lot names are chosen by callers and may contain
+ * slashes: the number comes last, with a fixed width, so that `claimOf` can split the key again.
+ */
+export function indexedKey(
   kind: "task" | "body" | "text" | "result",
   lot: string,
   index: number,
@@ -69,13 +85,17 @@
   return `${kind}/${lot}/${String(index).padStart(6, "0")}`;
 }
 
-/** The claim that a key of a task, or of an item, stands for. */
-export function claimOf(key: string, go: number): Claim {
-  const cut = key.lastIndexOf("/");
-  return { lot: key.slice(key.indexOf("/") + 1, cut), index: Number(key.slice(cut + 1)), go };
+/** The claim that a task key or item key denotes. */
+export function claimOf(key: string, attempt: number): Claim {
+  const separator = key.lastIndexOf("/");
+  return {
+    lot: key.slice(key.indexOf("/") + 1, separator),
+    index: Number(key.slice(separator + 1)),
+    go: attempt,
+  };
 }
 
-/** Key of the state of an item that has not ended. */
+/** Ledger key of the state of an unfinished item. */
 export function taskKey(lot: string, index: number): string {
-  return numbered("task", lot, index);
+  return indexedKey("task", lot, index);
 }
--- a/packages/parts/src/pass-turns.ts
+++ b/packages/parts/src/pass-turns.ts
@@ -1,31 +1,32 @@
+/** The order in which queued items of passages are dequeued: deadlines, target times and backoff. */
 import { constants } from "./constants.js";
 import type { PassCommand } from "./pass-messages.js";
 import type { PassLot, TaskRecord } from "./pass-records.js";
 import type { WaitingItem } from "./waiting.js";
 
-/** A waiting item with what its turn depends on. */
+/** A queued item with what its dequeue order depends on. */
 export interface WaitingTask extends WaitingItem {
   readonly lot: PassLot;
   readonly restsUntil: number;
 }
 
-/** An item in its place in the queue, from its records. */
+/** Builds the queue entry of an item from its records. */
 export function waitingTask(key: string, task: TaskRecord, lot: PassLot): WaitingTask {
   return { sequence: task.sequence, key, lot, restsUntil: task.restsUntil ?? 0 };
 }
 
-/** Items whose time has run out are left to the expiry, and one that breaks again and again does not hold up those behind it. */
+/** Items past their deadline are left for the expiry, and an item that keeps breaking must not block those behind it. */
 export function mayRun({ lot, restsUntil }: WaitingTask, time: number): boolean {
   return lot.until > time && restsUntil <= time;
 }
 
-/** Late already, it lets those pass that still can be in time, though not for ever. */
+/** An item that will miss its target time yields, for a limited time, to those that can still meet theirs. */
 export function yields({ lot }: WaitingTask, time: number): boolean {
   return lot.yieldsFrom !== undefined && time >= lot.yieldsFrom && time < lot.yieldsUntil!;
 }
 
-/** The record of a lot as it is handed in. */
-export function lotOf(command: Extract<PassCommand, { kind: "hand-in" }>, time: number): PassLot {
+/** The record of a newly submitted lot. */
+export function newLot(command: Extract<PassCommand, { kind: "hand-in" }>, time: number): PassLot {
   const { keeps, within, entries } = command;
   return {
     id: command.lot,
@@ -47,7 +48,7 @@
   };
 }
 
-/** ms for which an item rests after so many runs on end broke without an event. */
-export function restOf(breaks: number): number {
+/** Exponential backoff in ms after `breaks` (two or more) consecutive runs that broke without an event. */
+export function retryDelay(breaks: number): number {
   return Math.min(constants.restMost, constants.restFirst * 2 ** (breaks - 2));
 }
--- a/packages/parts/src/queue-bucket.ts
+++ b/packages/parts/src/queue-bucket.ts
@@ -1,27 +1,28 @@
 import { bucket, type Bucket, type Limits } from "./bucket.js";
 import type { Ledger } from "./ledger.js";
 
-/** One command of a queue's machine, as it is applied: to which records, at which moment of the ledger. */
-export interface Step {
+/** What a command of a queue's state machine is applied to: the records, at a ledger time. */
+export interface Context {
   readonly ledger: Ledger;
   readonly time: number;
 }
 
-export const keyBucket = "bucket";
-export const keyLimits = "limits";
-/** The number of the next item handed in, for all kinds of lots. */
-export const keySequence = "sequence";
+/** Ledger keys of the token bucket and its limits. */
+export const bucketKey = "bucket";
+export const limitsKey = "limits";
+/** Key of the sequence number of the next submitted item; all kinds of lots share it. */
+export const sequenceKey = "sequence";
 
-/** The queue's bucket with its limits, or undefined where control has told none yet. */
+/** The queue's token bucket and limits, or undefined before the control plane has assigned limits. */
 export function limitedBucket(ledger: Ledger): { held: Bucket; limits: Limits } | undefined {
-  const limits = ledger.read<{ readonly limits: Limits }>(keyLimits)?.limits;
-  const held = ledger.read<Bucket>(keyBucket);
+  const limits = ledger.read<{ readonly limits: Limits }>(limitsKey)?.limits;
+  const held = ledger.read<Bucket>(bucketKey);
   return limits === undefined || held === undefined ? undefined : { held, limits };
 }
 
-/** Gives back the token of a prompt that was never sent (docs/design.md §3.3). */
-export function restoreToken({ ledger, time }: Step): void {
+/** Returns the token of an item that was never sent to a runner (docs/design.md §3.3). */
+export function restoreToken({ ledger, time }: Context): void {
   const limited = limitedBucket(ledger);
   if (limited !== undefined)
-    ledger.put(keyBucket, bucket.restore(limited.held, limited.limits, time));
+    ledger.put(bucketKey, bucket.restore(limited.held, limited.limits, time));
 }
--- a/packages/parts/src/refused-tickets.ts
+++ b/packages/parts/src/refused-tickets.ts
@@ -1,31 +1,32 @@
 import { constants } from "./constants.js";
 import type { Ledger } from "./ledger.js";
 
-/** A ticket refused for good: a sending of it that was held up on its way is not taken. */
+/** A permanently refused ticket: a delayed copy of the same request must not be accepted later. */
 interface RefusedTicket {
+  /** Ledger time of the refusal. */
   readonly since: number;
 }
 
-const prefix = "turned/";
+const keyPrefix = "turned/";
 
-/** Tickets of hand-ins whose refusal holds for all their sendings, for a minute (docs/design.md §13.7.9). */
+/** Request ids of submissions whose refusal holds for all retransmissions; remembered for a minute (docs/design.md §13.7.9). */
 export class RefusedTickets {
-  /** In the order in which they are to be forgotten; derived from the ledger. */
+  /** In order of expiry; derived from the ledger. */
   #tickets: [since: number, ticket: string][] = [];
 
   rebuild(ledger: Ledger): void {
     this.#tickets = [];
-    for (const [key, { since }] of ledger.under<RefusedTicket>(prefix))
-      this.#tickets.push([since, key.slice(prefix.length)]);
-    this.#tickets.sort(earlier);
+    for (const [key, { since }] of ledger.under<RefusedTicket>(keyPrefix))
+      this.#tickets.push([since, key.slice(keyPrefix.length)]);
+    this.#tickets.sort(byExpiry);
   }
 
   has(ledger: Ledger, ticket: string | undefined): boolean {
-    return ticket !== undefined && ledger.read(prefix + ticket) !== undefined;
+    return ticket !== undefined && ledger.read(keyPrefix + ticket) !== undefined;
   }
 
   add(ledger: Ledger, ticket: string, time: number): void {
-    ledger.put(prefix + ticket, { since: time } satisfies RefusedTicket);
+    ledger.put(keyPrefix + ticket, { since: time } satisfies RefusedTicket);
     this.#tickets.push([time, ticket]);
   }
 
@@ -34,17 +35,17 @@
     return first !== undefined && first[0] + constants.turnedLasts <= time;
   }
 
-  /** Forgets those whose time is over; returns how many. */
+  /** Removes expired tickets; returns how many. */
   forgetDue(ledger: Ledger, time: number): number {
     let count = 0;
     while (this.isDue(time)) {
-      ledger.remove(prefix + this.#tickets.shift()![1]);
+      ledger.remove(keyPrefix + this.#tickets.shift()![1]);
       count += 1;
     }
     return count;
   }
 }
 
-function earlier(left: readonly [number, string], right: readonly [number, string]): number {
+function byExpiry(left: readonly [number, string], right: readonly [number, string]): number {
   return left[0] - right[0] || (left[1] < right[1] ? -1 : 1);
 }
--- a/packages/parts/src/waiting-tokens.ts
+++ b/packages/parts/src/waiting-tokens.ts
@@ -1,29 +1,29 @@
-/** Tokens of items that have not ended, which is what an allowance bounds (docs/design.md §13.7, §13.10). */
+/** Token counts of unfinished items, which a submission's allowance limits (docs/design.md §13.7, §13.10). */
 
-/** Sums by passage, and within it by tenant; lots without a tenant are counted together. */
+/** Token sums by passage and tenant; lots without a tenant are counted together. */
 export class WaitingTokens {
-  #byWay = new Map<string, Map<string | undefined, number>>();
+  #byPassage = new Map<string, Map<string | undefined, number>>();
 
   clear(): void {
-    this.#byWay.clear();
+    this.#byPassage.clear();
   }
 
-  /** Adds tokens, or takes them off where they are negative. */
-  add(way: string, tenant: string | undefined, tokens: number): void {
-    const byTenant = this.#byWay.get(way) ?? new Map<string | undefined, number>();
+  /** Adds tokens; a negative number subtracts. */
+  add(passage: string, tenant: string | undefined, tokens: number): void {
+    const byTenant = this.#byPassage.get(passage) ?? new Map<string | undefined, number>();
     const sum = (byTenant.get(tenant) ?? 0) + tokens;
     if (sum > 0) byTenant.set(tenant, sum);
     else byTenant.delete(tenant);
-    if (byTenant.size > 0) this.#byWay.set(way, byTenant);
-    else this.#byWay.delete(way);
+    if (byTenant.size > 0) this.#byPassage.set(passage, byTenant);
+    else this.#byPassage.delete(passage);
   }
 
-  of(way: string, tenant: string | undefined): number {
-    return this.#byWay.get(way)?.get(tenant) ?? 0;
+  of(passage: string, tenant: string | undefined): number {
+    return this.#byPassage.get(passage)?.get(tenant) ?? 0;
   }
 
-  /** Passages with a sum above 0. */
-  ways(): Iterable<string> {
-    return this.#byWay.keys();
+  /** Passages with unfinished items. */
+  passages(): Iterable<string> {
+    return this.#byPassage.keys();
   }
 }
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -196,8 +196,8 @@
     cuts: [
       {
         file: lot,
-        from: "for (const [lot, count] of this.#open) {",
-        to: "for (const [lot] of this.#open) { let count = 0; for (const season of this.#waiting.groups()) for (const { key } of this.#waiting.of(season)) if (key.startsWith(`item/${lot}/`)) count += 1;",
+        from: "for (const [lot, count] of this.#openByLot) {",
+        to: "for (const [lot] of this.#openByLot) { let count = 0; for (const season of this.#waiting.groups()) for (const { key } of this.#waiting.of(season)) if (key.startsWith(`item/${lot}/`)) count += 1;",
       },
     ],
   },
@@ -221,7 +221,7 @@
     cuts: [
       {
         file: lot,
-        from: 'if (lot.cancelled)\n            return this.#finish(step, open, { state: "cancelled" });',
+        from: 'if (lot.cancelled)\n            return this.#finish(context, open, { state: "cancelled" });',
         to: "",
       },
     ],
