--- a/packages/data/src/item-endings.ts
+++ b/packages/data/src/item-endings.ts
@@ -1,4 +1,4 @@
-/** How items of lots of passages ended, as far as their owners have not taken it for good (docs/design.md §13.7). */
+/** Ends of items that the owners of their queues have not committed yet (docs/design.md §13.7). */
 import { constants, type Claim, type PassEnding } from "@chutewick/parts";
 import type { AccessOutput } from "./access-output.js";
 import type { PendingCalls } from "./pending-calls.js";
@@ -8,17 +8,18 @@
 export interface ItemEnding {
   readonly claim: Claim;
   readonly ending: PassEnding;
-  /** Moment from which the item may be given up whatever became of it. */
+  /** Time from which the owner may give the item up, however it ended. */
   readonly until: number;
 }
 
+/** Uncommitted endings of one queue. */
 interface QueueEndings {
   pending: ItemEnding[];
-  /** What the owner is hearing now. */
+  /** Endings in the request to the owner that is in flight. */
   sent: readonly ItemEnding[];
 }
 
-/** Tells each owner of one message at a time: what ends while the owner works goes into the next together. */
+/** Reports endings with one request at a time per queue; those added meanwhile are batched into the next one. */
 export class ItemEndings {
   #pendingCalls: PendingCalls;
   #queues = new Map<string, QueueEndings>();
@@ -27,6 +28,7 @@
     this.#pendingCalls = pendingCalls;
   }
 
+  /** Adds an ending and reports it to the queue's owner as soon as possible. */
   add(queue: string, ending: ItemEnding, now: number): AccessOutput[] {
     let endings = this.#queues.get(queue);
     if (endings === undefined) {
@@ -37,7 +39,7 @@
     return this.#send(queue, endings, now);
   }
 
-  /** Claims whose ends no owner has taken for good, by their queues. */
+  /** Claims with uncommitted endings, with their queues. */
   *claims(): Generator<readonly [queue: string, claim: Claim]> {
     for (const [queue, { pending, sent }] of this.#queues)
       for (const { claim } of [...pending, ...sent]) yield [queue, claim];
@@ -48,9 +50,10 @@
     endings.sent = endings.pending;
     endings.pending = [];
     const onResult = (outcome: QueueOutcome, later: number): AccessOutput[] => {
-      /** What no owner has taken for good is told again: by its claim it counts once. Signs of life hold the claim meanwhile. */
+      // Uncommitted endings are reported again; the claim makes this idempotent, and heartbeats keep it alive meanwhile.
       if (outcome.kind !== "confirmed")
-        for (const each of endings.sent) if (later < each.until) endings.pending.push(each);
+        for (const unsettled of endings.sent)
+          if (later < unsettled.until) endings.pending.push(unsettled);
       endings.sent = [];
       return this.#send(queue, endings, later);
     };
@@ -61,7 +64,7 @@
 }
 
 function withoutDeadlines(endings: readonly ItemEnding[]): { claim: Claim; ending: PassEnding }[] {
-  const bare: { claim: Claim; ending: PassEnding }[] = [];
-  for (const { claim, ending } of endings) bare.push({ claim, ending });
-  return bare;
+  const settlements: { claim: Claim; ending: PassEnding }[] = [];
+  for (const { claim, ending } of endings) settlements.push({ claim, ending });
+  return settlements;
 }
--- a/packages/data/src/item-jobs.ts
+++ b/packages/data/src/item-jobs.ts
@@ -1,4 +1,4 @@
-/** Items of lots of passages as an access node runs them (docs/design.md §13.7). */
+/** Items of lots (batch jobs) on passages (configured routes), while an access node runs them (docs/design.md §13.7). */
 import type { Claim, PassEnding, PassTask, Tenancy } from "@chutewick/parts";
 import type { GoEnd } from "./choice.js";
 import type { PassRequest, PassWork } from "./dialect.js";
@@ -8,51 +8,56 @@
 const HTTP_UNPROCESSABLE = 422;
 const HTTP_SERVER_ERROR = 500;
 
-/** An item that was drawn, from the draw until its end is told. */
+/** A dequeued item, until its end is reported to the queue's owner. Times are in ms, monotonic. */
 export interface ItemJob {
   readonly queue: string;
   readonly task: PassTask;
   readonly request: PassRequest;
-  /** An old grant begins nothing: the lot may have been ended since. Moments are in ms, monotonic. */
+  /** No attempt starts after this time: the lot may have been ended since the item was granted. */
   readonly grantedUntil: number;
-  /** Moment from which it may be given up. */
-  readonly keepsUntil: number;
+  /** Time from which it may be given up. */
+  readonly expiresAt: number;
   readonly triedRunners: Set<string>;
-  /** Data of the events that came, in order. */
-  readonly texts: string[];
-  /** Number of the last event that counts; undefined before the first. */
+  /** Data of the received events, in order. */
+  readonly eventData: string[];
+  /** Number of the last accepted event; undefined before the first. */
   lastEvent: number | undefined;
   lastProgressAt: number;
 }
 
-/** An item at one runner. */
+/** An attempt to run an item at one runner. */
 export interface ItemAttempt {
   readonly job: ItemJob;
   readonly pool: string;
   readonly runner: string;
   readonly incarnation: number;
-  /** Of the runner's result, once its head has come. */
+  /** HTTP status of the runner's response, once its head was received. */
   status: number | undefined;
 }
 
-/** How an attempt ended: for the choice of runners, and for the owner of the queue. */
+/** How an attempt ended: `how` for the runner selection, `ending` for the owner of the queue. */
 export interface AttemptEnd {
   readonly how: GoEnd;
   readonly ending: PassEnding;
 }
 
-/** When an item may be begun, and until when it is worked on. */
-export type ItemTimes = Pick<ItemJob, "grantedUntil" | "keepsUntil">;
+/** Until when an item may be started, and until when it may run. */
+export type ItemTimes = Pick<ItemJob, "grantedUntil" | "expiresAt">;
 
-/** The job of an item that was just drawn. */
-export function itemJob(queue: string, task: PassTask, times: ItemTimes, now: number): ItemJob {
+/** Creates the job of an item that was just dequeued. */
+export function createItemJob(
+  queue: string,
+  task: PassTask,
+  times: ItemTimes,
+  now: number,
+): ItemJob {
   return {
     queue,
     task,
     request: requestOf(task),
     ...times,
     triedRunners: new Set(),
-    texts: [],
+    eventData: [],
     lastEvent: task.upTo ?? undefined,
     lastProgressAt: now,
   };
@@ -76,15 +81,15 @@
   };
 }
 
-/** Whom an item runs for: its lot's tenant, whatever credentials that one holds by now. */
+/** The tenant that an item runs for: its lot's owner, whose credentials may have changed since. */
 export function itemTenancy({ tenant }: PassTask, hasTenants: boolean): Tenancy | undefined {
   if (tenant !== undefined) return { tenant };
   return hasTenants ? { tenant: undefined } : undefined;
 }
 
-/** What a runner is sent for an item. */
+/** The request to a runner for an item. */
 export function itemWork(
-  { request, keepsUntil, lastEvent }: ItemJob,
+  { request, expiresAt, lastEvent }: ItemJob,
   runner: string,
   tenancy: Tenancy | undefined,
 ): PassWork {
@@ -92,7 +97,7 @@
     request,
     runner,
     rank: constants.itemRank,
-    until: keepsUntil,
+    until: expiresAt,
     resumeAfter: lastEvent,
     events: true,
     repeatable: true,
@@ -100,25 +105,34 @@
   };
 }
 
-/** The claim by which the owner knows an item that was drawn. */
+/** The claim by which the queue's owner identifies a dequeued item. */
 export function claimOf({ task: { lot, index, go } }: ItemJob): Claim {
   return { lot, index, go };
 }
 
-/** The attempt broke off: what came is kept. */
-export function brokenEnd({ texts, lastEvent }: ItemJob): AttemptEnd {
+/** The end of an attempt that broke off; its partial output is kept. */
+export function brokenEnd({ eventData, lastEvent }: ItemJob): AttemptEnd {
   return {
     how: "broken",
-    ending: { kind: "broken", text: texts.join("\n"), events: texts.length, upTo: lastEvent },
+    ending: {
+      kind: "broken",
+      text: eventData.join("\n"),
+      events: eventData.length,
+      upTo: lastEvent,
+    },
   };
 }
 
-/** The runner's result is whole. */
-export function wholeEnd({ job, status }: ItemAttempt): AttemptEnd {
-  const { texts, lastEvent } = job;
-  /** A run that was asked to go on after the last event of all ends without another. */
-  if (status === HTTP_OK && (texts.length > 0 || lastEvent !== undefined)) {
-    const ending = { kind: "solved", text: texts.join("\n"), events: texts.length } as const;
+/** The end of an attempt whose response was received completely. */
+export function completeEnd({ job, status }: ItemAttempt): AttemptEnd {
+  const { eventData, lastEvent } = job;
+  // A run that was resumed after the very last event ends without another one.
+  if (status === HTTP_OK && (eventData.length > 0 || lastEvent !== undefined)) {
+    const ending = {
+      kind: "solved",
+      text: eventData.join("\n"),
+      events: eventData.length,
+    } as const;
     return { how: "done", ending };
   }
   if (status === HTTP_UNPROCESSABLE) return { how: "done", ending: { kind: "never" } };
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -1,4 +1,7 @@
-/** The dispatcher of items: draws prompts as far as live work leaves room, runs them, and tells their owner how they ended (docs/design.md §13.7). */
+/**
+ * The dispatcher of items: dequeues them while live requests leave free capacity, runs them, and reports their ends to the
+ * owner of the queue (docs/design.md §13.7).
+ */
 import {
   constants,
   heldFor,
@@ -16,10 +19,10 @@
 import {
   brokenEnd,
   claimOf,
-  itemJob,
+  createItemJob,
   itemTenancy,
   itemWork,
-  wholeEnd,
+  completeEnd,
   type AttemptEnd,
   type ItemAttempt,
   type ItemJob,
@@ -30,50 +33,50 @@
 import { SleepDetector } from "./sleep-detector.js";
 import { weightedKey } from "./weighted-choice.js";
 
-/** Statuses from here on are no success. */
+/** Statuses below this one indicate success. */
 const HTTP_REDIRECT = 300;
 
-/** How this node draws from one queue. */
-interface QueueDraw {
+/** State of this node's dequeue requests to one queue. */
+interface QueueState {
   readonly queue: string;
-  /** Moment before which the queue is not drawn from again. */
+  /** Time before which no further request is sent. */
   resumeAt: number;
-  /** Since when a draw is on its way. */
+  /** When the pending request was sent; undefined if there is none. */
   askedAt: number | undefined;
 }
 
-/** Why an item may not be sent any more. */
+/** Why an item must not be sent to a runner any more. */
 export type ItemStartRefusal =
-  | "given up"
-  | "no lease"
-  | "the grant ran out"
-  | "its lot is ended"
-  | "its passage is gone, or leads elsewhere"
-  | "the runner said goodbye, or was not heard of lately";
-
-/** The room that live work leaves for items at this node. */
-interface ItemRoom {
-  /** Passages whose runners have room here. */
+  | "the attempt has ended"
+  | "this node holds no lease"
+  | "the grant has expired"
+  | "its lot was ended"
+  | "its passage was removed, or no longer uses this pool"
+  | "the runner has deregistered, or its heartbeats are overdue";
+
+/** Capacity that live requests leave for items at this node. */
+interface ItemCapacity {
+  /** Passages whose runners have free capacity. */
   readonly able: readonly string[];
-  /** How many items may be begun. */
+  /** Number of items that may be started. */
   readonly room: number;
 }
 
-/** The dispatcher of one access node, for all queues of passages. */
+/** The dispatcher of one access node, for all queues with lots of passages. */
 export class PassDraw {
   #membership: Membership;
   #choice: Choice;
   #pendingCalls: PendingCalls;
   #endings: ItemEndings;
-  #draws = new Map<string, QueueDraw>();
+  #queues = new Map<string, QueueState>();
   #attempts = new Map<number, ItemAttempt>();
-  /** Lots that were ended lately. */
+  /** Recently ended lots, the oldest first; bounded. */
   #endedLots = new Set<string>();
   #heartbeatAt = 0;
-  /** How often pools were chosen, by which each choice is drawn anew. */
+  /** Number of pool choices so far; seeds the next weighted choice. */
   #poolChoices = 0;
-  #isLeaving = false;
-  #sleep = new SleepDetector(Number.POSITIVE_INFINITY);
+  #isStopping = false;
+  #sleepDetector = new SleepDetector(Number.POSITIVE_INFINITY);
   readonly counts = { drawn: 0, solved: 0, never: 0, troubled: 0, broken: 0, givenBack: 0 };
 
   constructor(membership: Membership, choice: Choice, pendingCalls: PendingCalls) {
@@ -87,36 +90,36 @@
     return this.#attempts.size;
   }
 
-  /** A planned stop: nothing more is drawn or begun. */
+  /** Planned stop: nothing more is dequeued or started. */
   leave(): void {
-    this.#isLeaving = true;
+    this.#isStopping = true;
   }
 
   has(attempt: number): boolean {
     return this.#attempts.has(attempt);
   }
 
-  /** A changed limit ends every pause. */
+  /** Resumes all queues at once; called when a limit has changed. */
   endPauses(): void {
-    for (const draw of this.#draws.values()) {
-      draw.resumeAt = 0;
-      draw.askedAt = undefined;
+    for (const state of this.#queues.values()) {
+      state.resumeAt = 0;
+      state.askedAt = undefined;
     }
   }
 
-  /** The last look, right before the first byte. */
+  /** Checks right before the first byte is sent whether an attempt may still start; returns the reason if not. */
   mayStart(number: number, now: number): ItemStartRefusal | undefined {
     const attempt = this.#attempts.get(number);
-    if (attempt === undefined) return "given up";
+    if (attempt === undefined) return "the attempt has ended";
     const { job, pool, runner, incarnation } = attempt;
-    if (!this.#membership.holds(now)) return "no lease";
-    if (now > job.grantedUntil) return "the grant ran out";
-    if (this.#endedLots.has(job.task.lot)) return "its lot is ended";
+    if (!this.#membership.holds(now)) return "this node holds no lease";
+    if (now > job.grantedUntil) return "the grant has expired";
+    if (this.#endedLots.has(job.task.lot)) return "its lot was ended";
     const passage = this.#passage(job.task.way);
     if (passage === undefined || !configuration.poolsOf(passage).includes(pool))
-      return "its passage is gone, or leads elsewhere";
+      return "its passage was removed, or no longer uses this pool";
     if (!this.#membership.isStanding(runner, incarnation, now))
-      return "the runner said goodbye, or was not heard of lately";
+      return "the runner has deregistered, or its heartbeats are overdue";
     return undefined;
   }
 
@@ -126,79 +129,82 @@
     return passage?.kind === "lot" ? passage : undefined;
   }
 
+  /** Periodic work: aborts stalled attempts, sends heartbeats and dequeues further items. */
   beat(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
-    this.#sleep.observe(now);
+    this.#sleepDetector.observe(now);
     for (const [number, attempt] of [...this.#attempts]) {
-      const { lastProgressAt, keepsUntil } = attempt.job;
-      const isOver = now - lastProgressAt > constants.promptSilence || now >= keepsUntil;
-      if (isOver || this.#isStalled(number, attempt, now))
+      const { lastProgressAt, expiresAt } = attempt.job;
+      const isOverdue = now - lastProgressAt > constants.promptSilence || now >= expiresAt;
+      if (isOverdue || this.#isStalled(number, attempt, now))
         outputs.push(...this.#abandon(number, attempt, now));
     }
     if (now - this.#heartbeatAt >= constants.taskLifeEvery) {
       this.#heartbeatAt = now;
       outputs.push(...this.#heartbeats());
     }
-    outputs.push(...this.#drawFromQueues(now));
+    outputs.push(...this.#dequeueFromQueues(now));
     return outputs;
   }
 
-  /** The runner gives no sign on any work of this node: it is dark, or the connection carries nothing any more. */
+  /** Whether the runner makes no progress on any request of this node: it is unresponsive, or the connection is dead. */
   #isStalled(number: number, { job }: ItemAttempt, now: number): boolean {
     const silence = now - job.lastProgressAt;
-    /** After a sleep of this process signs may wait to be read. */
-    const isAwake = this.#sleep.awakeFor(now) > constants.rescueAfter;
+    // After this process was suspended, received events may still be unread.
+    const isAwake = this.#sleepDetector.awakeFor(now) > constants.rescueAfter;
     return isAwake && silence > constants.itemStalledAfter && this.#choice.isDark(number, now);
   }
 
-  #room(now: number): ItemRoom {
+  /** A pool that serves several passages counts once. */
+  #freeCapacity(now: number): ItemCapacity {
     const able: string[] = [];
-    const rooms = new Map<string, number>();
+    const roomByPool = new Map<string, number>();
     const { passages } = this.#membership.configuration.value;
     for (const [name, passage] of Object.entries(passages ?? {})) {
       if (passage.kind !== "lot") continue;
       let hasRoom = false;
       for (const pool of configuration.poolsOf(passage)) {
-        const room = rooms.get(pool) ?? this.#choice.room(pool, now);
-        rooms.set(pool, room);
-        hasRoom ||= room >= 1;
+        const poolRoom = roomByPool.get(pool) ?? this.#choice.room(pool, now);
+        roomByPool.set(pool, poolRoom);
+        hasRoom ||= poolRoom >= 1;
       }
       if (hasRoom) able.push(name);
     }
     let room = 0;
-    for (const each of rooms.values()) room += Math.max(0, Math.floor(each));
+    for (const poolRoom of roomByPool.values()) room += Math.max(0, Math.floor(poolRoom));
     return { able, room };
   }
 
-  /** Every node draws from every queue as far as it has room, so that relaying is spread; the claim is the fence. */
-  #drawFromQueues(now: number): AccessOutput[] {
-    if (this.#isLeaving || !this.#membership.holds(now)) return [];
+  /** Every node dequeues from every queue while it has free capacity, which spreads the load; claims prevent duplicate results. */
+  #dequeueFromQueues(now: number): AccessOutput[] {
+    if (this.#isStopping || !this.#membership.holds(now)) return [];
     const outputs: AccessOutput[] = [];
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
-      if (configuration.isPoolQueue(queue)) outputs.push(...this.#draw(this.#drawOf(queue), now));
+      if (configuration.isPoolQueue(queue))
+        outputs.push(...this.#dequeue(this.#stateOf(queue), now));
     }
     return outputs;
   }
 
-  #drawOf(queue: string): QueueDraw {
-    let draw = this.#draws.get(queue);
-    if (draw === undefined) {
-      draw = { queue, resumeAt: 0, askedAt: undefined };
-      this.#draws.set(queue, draw);
+  #stateOf(queue: string): QueueState {
+    let state = this.#queues.get(queue);
+    if (state === undefined) {
+      state = { queue, resumeAt: 0, askedAt: undefined };
+      this.#queues.set(queue, state);
     }
-    return draw;
+    return state;
   }
 
-  #draw(draw: QueueDraw, now: number): AccessOutput[] {
-    if (this.#isLeaving || now < draw.resumeAt || isAsking(draw, now)) return [];
-    const { able, room } = this.#room(now);
+  #dequeue(state: QueueState, now: number): AccessOutput[] {
+    if (this.#isStopping || now < state.resumeAt || isRequestPending(state, now)) return [];
+    const { able, room } = this.#freeCapacity(now);
     if (room < 1) return [];
     const askedAt = now;
-    draw.askedAt = askedAt;
+    state.askedAt = askedAt;
     const onResult = (outcome: QueueOutcome, later: number, since: number): AccessOutput[] => {
-      if (draw.askedAt === askedAt) draw.askedAt = undefined;
-      return this.#drawn(draw, outcome, since, later);
+      if (state.askedAt === askedAt) state.askedAt = undefined;
+      return this.#onDequeued(state, outcome, since, later);
     };
     const command = {
       kind: "draw",
@@ -207,42 +213,47 @@
       most: Math.min(room, constants.drawMost),
       able,
     } as const;
-    /** A grant that comes too late to be begun still has to be given back. */
+    // Longer than a grant is valid: an item granted too late to start still has to be returned.
     const patience = constants.orphanAfter;
-    const call = { queue: draw.queue, command, patience, hold: constants.drawHold, onResult };
+    const call = { queue: state.queue, command, patience, hold: constants.drawHold, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
-  #drawn(draw: QueueDraw, outcome: QueueOutcome, askedAt: number, now: number): AccessOutput[] {
-    const { queue } = draw;
+  #onDequeued(
+    state: QueueState,
+    outcome: QueueOutcome,
+    askedAt: number,
+    now: number,
+  ): AccessOutput[] {
+    const { queue } = state;
     if (outcome.kind !== "confirmed" || outcome.value.kind !== "DRAWN") {
-      draw.resumeAt = now + constants.emptyPause;
+      state.resumeAt = now + constants.emptyPause;
       return [];
     }
     const { tasks, more, wait } = outcome.value;
-    /** The owner held the draw while the queue was empty: that was the pause. */
-    if (more === "RATE_LIMITED") draw.resumeAt = now + (wait ?? constants.pauseMost);
+    // No pause after EMPTY: the owner has already held the request while the queue was empty.
+    if (more === "RATE_LIMITED") state.resumeAt = now + (wait ?? constants.pauseMost);
     const outputs: AccessOutput[] = [];
     const claims: Claim[] = [];
     for (const task of tasks) {
-      outputs.push(...this.#begin(queue, task, askedAt, now));
+      outputs.push(...this.#startItem(queue, task, askedAt, now));
       claims.push({ lot: task.lot, index: task.index, go: task.go });
     }
     if (claims.length > 0) outputs.push(...this.#heartbeat(queue, claims));
-    return [...outputs, ...this.#draw(draw, now)];
+    return [...outputs, ...this.#dequeue(state, now)];
   }
 
-  #begin(queue: string, task: PassTask, askedAt: number, now: number): AccessOutput[] {
+  #startItem(queue: string, task: PassTask, askedAt: number, now: number): AccessOutput[] {
     this.counts.drawn += 1;
     const { cancelWithin } = this.#membership.policy;
     const times = {
       grantedUntil: askedAt + heldFor(Math.min(constants.grantLasts, cancelWithin)),
-      keepsUntil: askedAt + task.remaining,
+      expiresAt: askedAt + task.remaining,
     };
-    return this.#tryNextRunner(itemJob(queue, task, times, now), now);
+    return this.#tryNextRunner(createItemJob(queue, task, times, now), now);
   }
 
-  /** The newest configuration says where it runs: by weight, then any pool of the passage that has a runner for it. */
+  /** Picks a pool by weight from the current configuration, falling back to any other pool of the passage with a free runner. */
   #tryNextRunner(job: ItemJob, now: number): AccessOutput[] {
     const passage = this.#passage(job.task.way);
     if (passage === undefined || !this.#mayTry(job, now))
@@ -251,10 +262,10 @@
     const seed = `${this.#membership.identity}/${this.#poolChoices}`;
     for (const pool of poolsByWeight(passage, seed)) {
       const chosen = this.#choice.choose(pool, job.request, job.triedRunners, true, now);
-      if (chosen !== undefined) return [this.#start(job, pool, chosen, now)];
+      if (chosen !== undefined) return [this.#startAttempt(job, pool, chosen, now)];
     }
-    const draw = this.#drawOf(job.queue);
-    draw.resumeAt = Math.max(draw.resumeAt, now + constants.emptyPause);
+    const state = this.#stateOf(job.queue);
+    state.resumeAt = Math.max(state.resumeAt, now + constants.emptyPause);
     return this.#settle(job, { kind: "unsent" }, now);
   }
 
@@ -262,12 +273,12 @@
     return (
       now <= grantedUntil &&
       triedRunners.size < constants.runnersTried &&
-      !this.#isLeaving &&
+      !this.#isStopping &&
       !this.#endedLots.has(task.lot)
     );
   }
 
-  #start(job: ItemJob, pool: string, chosen: Chosen, now: number): AccessOutput {
+  #startAttempt(job: ItemJob, pool: string, chosen: Chosen, now: number): AccessOutput {
     const { runner, incarnation, address } = chosen;
     job.triedRunners.add(runner);
     const number = this.#choice.nextGo();
@@ -278,17 +289,17 @@
     return { kind: "pass-run", go: number, address, work };
   }
 
-  /** What the link to a runner tells of an attempt. */
+  /** Handles an event from the connection to a runner. */
   goEvent(number: number, event: PassEvent, now: number): AccessOutput[] {
     const attempt = this.#attempts.get(number);
     if (attempt === undefined) return [];
     attempt.job.lastProgressAt = now;
     switch (event.kind) {
       case "unsent":
-        this.#part(number, "unsent", undefined, now);
+        this.#removeAttempt(number, "unsent", undefined, now);
         return this.#tryNextRunner(attempt.job, now);
       case "refused":
-        this.#part(number, "refused", event.retryAfter, now);
+        this.#removeAttempt(number, "refused", event.retryAfter, now);
         return this.#tryNextRunner(attempt.job, now);
       case "head":
         attempt.status = event.status;
@@ -298,16 +309,16 @@
       case "data":
         return [];
       case "event":
-        return this.#takeEvent(number, attempt, event, now);
+        return this.#onEvent(number, attempt, event, now);
       case "end":
-        return this.#end(number, attempt.job, wholeEnd(attempt), now);
+        return this.#end(number, attempt.job, completeEnd(attempt), now);
       case "broken":
         return this.#end(number, attempt.job, brokenEnd(attempt.job), now);
     }
   }
 
-  /** Only what surely follows counts: an attempt that skips or repeats is broken off. */
-  #takeEvent(
+  /** Accepts only the event with the next number: an attempt that skips or repeats events is aborted. */
+  #onEvent(
     number: number,
     attempt: ItemAttempt,
     event: Extract<PassEvent, { kind: "event" }>,
@@ -316,27 +327,27 @@
     const { job } = attempt;
     const isNext = job.lastEvent === undefined || event.number === job.lastEvent + 1;
     if (event.number === undefined || !isNext) return this.#abandon(number, attempt, now);
-    if (job.texts.length === 0) this.#choice.first(number, now);
+    if (job.eventData.length === 0) this.#choice.first(number, now);
     else this.#choice.itemSign(number, now);
-    job.texts.push(event.data);
+    job.eventData.push(event.data);
     job.lastEvent = event.number;
     return [];
   }
 
-  /** Breaks an attempt off: its connection is ended, so that the runner drops it. */
+  /** Aborts an attempt: closes its connection, so that the runner drops it. */
   #abandon(number: number, { job }: ItemAttempt, now: number): AccessOutput[] {
     return [{ kind: "pass-abandon", go: number }, ...this.#end(number, job, brokenEnd(job), now)];
   }
 
   #end(number: number, job: ItemJob, { how, ending }: AttemptEnd, now: number): AccessOutput[] {
-    this.#part(number, how, undefined, now);
+    this.#removeAttempt(number, how, undefined, now);
     const outputs = this.#settle(job, ending, now);
-    if (this.#membership.holds(now)) outputs.push(...this.#draw(this.#drawOf(job.queue), now));
+    if (this.#membership.holds(now)) outputs.push(...this.#dequeue(this.#stateOf(job.queue), now));
     return outputs;
   }
 
-  /** Takes an attempt off the books. retryAfter in s, where the runner told one. */
-  #part(number: number, how: GoEnd, retryAfter: number | undefined, now: number): void {
+  /** Removes a finished attempt. retryAfter: in s, if the runner sent one. */
+  #removeAttempt(number: number, how: GoEnd, retryAfter: number | undefined, now: number): void {
     this.#attempts.delete(number);
     this.#choice.end(number, how, retryAfter, now);
   }
@@ -347,17 +358,17 @@
     else if (ending.kind === "trouble") this.counts.troubled += 1;
     else if (ending.kind === "unsent") this.counts.givenBack += 1;
     else this.counts.broken += 1;
-    const { queue, keepsUntil: until } = job;
+    const { queue, expiresAt: until } = job;
     return this.#endings.add(queue, { claim: claimOf(job), ending, until }, now);
   }
 
-  /** The lot is ended: its attempts are dropped, and none begins. */
+  /** The lot was ended: aborts its attempts and starts no more of its items. */
   ended(lot: string, now: number): AccessOutput[] {
     this.#rememberEnded(lot);
     const outputs: AccessOutput[] = [];
     for (const [number, { job }] of [...this.#attempts]) {
       if (job.task.lot !== lot) continue;
-      this.#part(number, "left", undefined, now);
+      this.#removeAttempt(number, "left", undefined, now);
       outputs.push({ kind: "pass-abandon", go: number });
     }
     return outputs;
@@ -372,7 +383,7 @@
     }
   }
 
-  /** Runners report on themselves alone: the sign of life of a prompt is its tokens, seen here (§5.4). */
+  /** Heartbeats for all claims. Runners report only on themselves, so this node vouches for its items (docs/design.md §5.4). */
   #heartbeats(): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [queue, claims] of groupByQueue(this.#claims()))
@@ -392,12 +403,12 @@
   }
 }
 
-/** A draw that the owner did not answer in time is asked for anew. */
-function isAsking({ askedAt }: QueueDraw, now: number): boolean {
+/** Whether a request is pending; one that the owner didn't answer in time is abandoned and sent again. */
+function isRequestPending({ askedAt }: QueueState, now: number): boolean {
   return askedAt !== undefined && now - askedAt < constants.grantLasts + constants.drawHold;
 }
 
-/** Pools of a passage, one drawn by weight first; those of weight 0 never. */
+/** Pools of a passage in weighted random order; pools of weight 0 are left out. */
 function poolsByWeight(passage: Passage, seed: string): string[] {
   const keyed: [key: number, pool: string][] = [];
   for (const { pool, weight } of passage.pools)
