--- a/features/steps/lot.ts
+++ b/features/steps/lot.ts
@@ -16,7 +16,7 @@
   allowance: number;
   now: number;
   results: QueueResult[];
-  popped: Extract<QueueResult, { kind: "TAKEN" }>[];
+  dequeued: Extract<QueueResult, { kind: "TAKEN" }>[];
   differences: string[];
   lists: string[];
 }
@@ -35,7 +35,7 @@
   this.allowance = allowance;
   this.now = 0;
   this.results = [];
-  this.popped = [];
+  this.dequeued = [];
   this.differences = [];
   this.lists = [];
   apply(this, {
@@ -47,7 +47,7 @@
 }
 Given("a queue with {int} tokens per {int} s and an allowance of {int} waiting items", aQueue);
 
-function admission(lot: string, count: number, allowance: number): QueueCommand {
+function submission(lot: string, count: number, allowance: number): QueueCommand {
   const prompts: unknown[] = [];
   for (let index = 0; index < count; index += 1) prompts.push({ lot, index });
   return {
@@ -62,10 +62,10 @@
   };
 }
 
-function aLotIsHandedIn(this: World, lot: string, count: number): void {
-  this.results.push(apply(this, admission(lot, count, this.allowance)));
+function aLotIsSubmitted(this: World, lot: string, count: number): void {
+  this.results.push(apply(this, submission(lot, count, this.allowance)));
 }
-When("a lot {string} of {int} items is handed in", aLotIsHandedIn);
+When("a lot {string} of {int} items is submitted", aLotIsSubmitted);
 
 function theResultsAre(this: World, kinds: string): void {
   const found: string[] = [];
@@ -79,22 +79,22 @@
 }
 Then("{int} items wait", itemsWait);
 
-function theRefusalTells(this: World, wait: number): void {
+function theRefusalReturns(this: World, wait: number): void {
   const last = this.results.at(-1)!;
   ok(last.kind === "FULL");
   equal(last.wait, wait);
 }
-Then("the refusal tells the wait of {int} ms", theRefusalTells);
+Then("the refusal returns a wait of {int} ms", theRefusalReturns);
 
 function theLotIsUnknown(this: World, lot: string): void {
   equal(apply(this, { kind: "status", lot }).kind, "UNKNOWN_LOT");
 }
 Then("the lot {string} is unknown", theLotIsUnknown);
 
-function pop(world: World): Extract<QueueResult, { kind: "TAKEN" }> {
+function dequeue(world: World): Extract<QueueResult, { kind: "TAKEN" }> {
   const result = apply(world, { kind: "pop", holder: "dispatcher" });
   ok(result.kind === "TAKEN", result.kind);
-  world.popped.push(result);
+  world.dequeued.push(result);
   return result;
 }
 
@@ -104,32 +104,32 @@
   return { kind: kind as "broken" | "unsent" };
 }
 
-/** At one moment, so that no refill blurs what was spent. */
-function aPromptIsPoppedAndRecorded(this: World, kind: string): void {
+/** Keeps the time constant, so that no refill hides what was spent. */
+function aPromptIsDequeuedAndRecorded(this: World, kind: string): void {
   const { now } = this;
-  const { lot, index, go } = pop(this);
+  const { lot, index, go } = dequeue(this);
   this.now = now;
   this.results.push(apply(this, { kind: "record", lot, index, go, ending: endingOf(kind) }));
   this.now = now;
 }
 When(
   /^a prompt is popped and recorded as (solved|trouble|broken|unsent)$/,
-  aPromptIsPoppedAndRecorded,
+  aPromptIsDequeuedAndRecorded,
 );
 
-function aPromptIsTakenBack(this: World): void {
-  const { lot, index, go } = pop(this);
+function aClaimIsReset(this: World): void {
+  const { lot, index, go } = dequeue(this);
   this.results.push(apply(this, { kind: "reset", items: [{ lot, index, go }] }));
 }
-When("a prompt is popped and taken back for want of a sign of life", aPromptIsTakenBack);
+When("a prompt is popped and its claim is reset for a missing heartbeat", aClaimIsReset);
 
-function theFirstGoRecords(this: World): void {
-  const { lot, index, go } = this.popped[0]!;
+function theFirstAttemptRecords(this: World): void {
+  const { lot, index, go } = this.dequeued[0]!;
   this.results.push(
     apply(this, { kind: "record", lot, index, go, ending: { kind: "solved", result: ["late"] } }),
   );
 }
-When("the first go records another result", theFirstGoRecords);
+When("the first attempt records another result", theFirstAttemptRecords);
 
 function theResultsEndWith(this: World, kinds: string): void {
   const wanted = kinds.split(", ");
@@ -141,7 +141,7 @@
 
 function theNextPrompt(this: World, index: number): void {
   const { now } = this;
-  equal(pop(this).index, index);
+  equal(dequeue(this).index, index);
   this.now = now;
 }
 Then("the next prompt popped is item {int}", theNextPrompt);
@@ -167,10 +167,10 @@
 }
 When("the lot {string} is cancelled", theLotIsCancelled);
 
-function anEmptyResultFollows(this: World): void {
+function theNextDequeueReturnsEmpty(this: World): void {
   equal(apply(this, { kind: "pop", holder: "dispatcher" }).kind, "EMPTY");
 }
-Then("an EMPTY result follows", anEmptyResultFollows);
+Then("the next dequeue returns EMPTY", theNextDequeueReturnsEmpty);
 
 function secondsPass(this: World, seconds: number): void {
   this.now += seconds * 1_000;
@@ -184,11 +184,14 @@
 }
 When("the machine is rebuilt from its records", theMachineIsRebuilt);
 
-function draw(chance: Chance, claims: Extract<QueueResult, { kind: "TAKEN" }>[]): QueueCommand {
+function randomCommand(
+  chance: Chance,
+  claims: Extract<QueueResult, { kind: "TAKEN" }>[],
+): QueueCommand {
   const lot = `lot-${chance.below(12)}`;
   const claim = claims[chance.below(Math.max(1, claims.length))];
   const kind = chance.below(12);
-  if (kind < 2) return admission(lot, 1 + (lot.length % 5), 40);
+  if (kind < 2) return submission(lot, 1 + (lot.length % 5), 40);
   if (kind < 6) return { kind: "pop", holder: "dispatcher" };
   if (kind === 6) return { kind: "cancel", lot };
   if (kind === 7) return { kind: "expire" };
@@ -211,18 +214,18 @@
   };
 }
 
-function seedsArePlayed(this: World, seeds: number, steps: number): void {
+function randomCommandsAreApplied(this: World, seeds: number, steps: number): void {
   for (let seed = 0; seed < seeds; seed += 1) {
     const chance = new Chance(seed);
     const [left, right] = [new Ledger(), new Ledger()];
     const leftMachine = new QueueMachine();
     let rightMachine = new QueueMachine();
     const claims: Extract<QueueResult, { kind: "TAKEN" }>[] = [];
-    const shown = new Map<string, string>();
+    const seen = new Map<string, string>();
     let now = 0;
     for (let step = 0; step < steps; step += 1) {
       now += chance.below(chance.below(30) === 0 ? 120_000 : 300);
-      const command = draw(chance, claims);
+      const command = randomCommand(chance, claims);
       const result = leftMachine.apply(left, command, now);
       const other = rightMachine.apply(right, command, now);
       if (JSON.stringify(result) !== JSON.stringify(other))
@@ -232,9 +235,9 @@
       if (result.kind === "TAKEN") claims.push(result);
       const changes = left.takeChanges();
       for (const [key, value] of changes) {
-        if (key.startsWith("item/") && value === undefined) shown.delete(key);
+        if (key.startsWith("item/") && value === undefined) seen.delete(key);
         if (key.startsWith("item/") && value !== undefined)
-          lookAt(this.lists, seed, key, value as Item, shown);
+          checkItem(this.lists, seed, key, value as Item, seen);
       }
       if (step === steps >> 1) {
         const copy = new Ledger();
@@ -251,33 +254,33 @@
     for (const [, lot] of left.under<{ id: string; items: number }>("lot/")) {
       const status = leftMachine.apply(left, { kind: "status", lot: lot.id }, now);
       ok(status.kind === "LOT");
-      for (const [place, item] of status.items.entries())
-        if (item.index !== place)
-          this.lists.push(`seed ${seed}: ${lot.id} lists ${item.index} at ${place}`);
+      for (const [position, item] of status.items.entries())
+        if (item.index !== position)
+          this.lists.push(`seed ${seed}: ${lot.id} lists ${item.index} at ${position}`);
       if (status.items.length !== lot.items)
         this.lists.push(`seed ${seed}: ${lot.id} lists ${status.items.length}`);
     }
   }
 }
 When(
-  "{int} seeds of {int} random commands are played on two machines, one of them rebuilt from records half-way",
-  seedsArePlayed,
+  "{int} seeds of {int} random commands are applied to two machines, one of them rebuilt from records half-way",
+  randomCommandsAreApplied,
 );
 
-/** A lot whose time of keeping is over may be handed in anew; until then a final item stays as it is. */
-function lookAt(
+/** A lot may be submitted anew after its retention; until then a final item must not change. */
+function checkItem(
   lists: string[],
   seed: number,
   key: string,
   item: Item,
-  shown: Map<string, string>,
+  seen: Map<string, string>,
 ): void {
-  const told = JSON.stringify([item.state, item.result, item.reason]);
-  const before = shown.get(key);
-  if (before !== undefined && before !== told && item.go > 0)
-    lists.push(`seed ${seed}: ${key} was ${before}, then ${told}`);
+  const current = JSON.stringify([item.state, item.result, item.reason]);
+  const before = seen.get(key);
+  if (before !== undefined && before !== current && item.go > 0)
+    lists.push(`seed ${seed}: ${key} was ${before}, then ${current}`);
   if (item.state === "solved" || item.state === "failed" || item.state === "cancelled")
-    shown.set(key, told);
+    seen.set(key, current);
 }
 
 function byKey(left: readonly [string, unknown], right: readonly [string, unknown]): number {
--- a/features/steps/passlot.ts
+++ b/features/steps/passlot.ts
@@ -25,22 +25,22 @@
   type PassPlayOptions,
 } from "@chutewick/simulator";
 
-/** What steps on a queue of passages share. */
+/** State shared by the steps on a queue with lots of passages. */
 export interface World {
   ledger: Ledger;
   machine: QueueMachine;
   allowance: number;
   now: number;
   told: QueueResult[];
-  drawn: PassTask[];
+  dequeued: PassTask[];
   differences: string[];
   faults: string[];
 }
 
 export function apply(world: World, command: QueueCommand): QueueResult {
-  const told = world.machine.apply(world.ledger, command, world.now);
+  const result = world.machine.apply(world.ledger, command, world.now);
   world.ledger.takeChanges();
-  return told;
+  return result;
 }
 
 function aPassagesQueue(
@@ -56,7 +56,7 @@
   this.allowance = allowance;
   this.now = 0;
   this.told = [];
-  this.drawn = [];
+  this.dequeued = [];
   this.differences = [];
   this.faults = [];
   apply(this, {
@@ -100,12 +100,12 @@
   };
 }
 
-function theLotIsHandedIn(this: World, lot: string, count: number, tokens: number): void {
+function theLotIsSubmitted(this: World, lot: string, count: number, tokens: number): void {
   this.told.push(apply(this, handing(lot, count, tokens, this.allowance)));
 }
-When("the lot {string} with {int} items of {int} tokens is handed in", theLotIsHandedIn);
+When("the lot {string} with {int} items of {int} tokens is handed in", theLotIsSubmitted);
 
-function itIsHandedInWithin(
+function itIsSubmittedWithin(
   this: World,
   lot: string,
   count: number,
@@ -116,10 +116,10 @@
 }
 When(
   "the lot {string} with {int} items of {int} tokens, wanted within {int} ms, is handed in",
-  itIsHandedInWithin,
+  itIsSubmittedWithin,
 );
 
-function itIsHandedInLate(
+function itIsSubmittedLate(
   this: World,
   lot: string,
   count: number,
@@ -132,10 +132,10 @@
 }
 When(
   "the lot {string} with {int} items of {int} tokens, wanted within {int} ms, is handed in late",
-  itIsHandedInLate,
+  itIsSubmittedLate,
 );
 
-function sendingIsHandedIn(
+function requestIsSubmitted(
   this: World,
   ticket: string,
   lot: string,
@@ -153,30 +153,30 @@
 }
 When(
   /^sending "(\w)" of the lot "(\w)" with (\d+) items of (\d+) tokens is handed in( again)?$/,
-  sendingIsHandedIn,
+  requestIsSubmitted,
 );
 
-function noSendingIsKnown(this: World): void {
+function noRefusedRequestIsRemembered(this: World): void {
   deepEqual([...this.ledger.under("turned/")], []);
 }
-Then("no refused sending is known any more", noSendingIsKnown);
+Then("no refused sending is remembered any more", noRefusedRequestIsRemembered);
 
-function spoken(told: QueueResult): string {
-  if (told.kind === "HANDED" && told.again) return "HANDED again";
-  return told.kind;
+function nameOf(result: QueueResult): string {
+  if (result.kind === "HANDED" && result.again) return "HANDED again";
+  return result.kind;
 }
 
-function theTellingsAre(this: World, kinds: string): void {
+function theResultsAre(this: World, kinds: string): void {
   const found: string[] = [];
-  for (const told of this.told) found.push(spoken(told));
+  for (const result of this.told) found.push(nameOf(result));
   equal(found.join(", "), kinds);
 }
-Then(/^the tellings are ([A-Z_a-z, ]+)$/, theTellingsAre);
+Then(/^the tellings are ([A-Z_a-z, ]+)$/, theResultsAre);
 
-function theLastTellingIs(this: World, kind: string): void {
-  equal(spoken(this.told.at(-1)!), kind);
+function theLastResultIs(this: World, kind: string): void {
+  equal(nameOf(this.told.at(-1)!), kind);
 }
-Then(/^the last telling is ([A-Z_]+(?: again)?)$/, theLastTellingIs);
+Then(/^the last telling is ([A-Z_]+(?: again)?)$/, theLastResultIs);
 
 function settledWithStale(this: World, stale: number): void {
   const last = this.told.at(-1)!;
@@ -190,36 +190,41 @@
 }
 Then("{int} items wait in the queue", itemsWaitInTheQueue);
 
-function ask(
+function dequeue(
   world: World,
   most: number,
   able: readonly string[] = ["slips"],
 ): Extract<QueueResult, { kind: "DRAWN" }> {
-  const told = apply(world, { kind: "draw", holder: "node", most, able });
-  ok(told.kind === "DRAWN", told.kind);
-  return told;
+  const result = apply(world, { kind: "draw", holder: "node", most, able });
+  ok(result.kind === "DRAWN", result.kind);
+  return result;
 }
 
-function promptsAreDrawn(this: World, count: number): void {
-  this.drawn = [...ask(this, count).tasks];
-  equal(this.drawn.length, count);
+function promptsAreDequeued(this: World, count: number): void {
+  this.dequeued = [...dequeue(this, count).tasks];
+  equal(this.dequeued.length, count);
 }
-function drawnSoMany(this: World, count: string): void {
-  promptsAreDrawn.call(this, Number(count));
+function numberDequeued(this: World, count: string): void {
+  promptsAreDequeued.call(this, Number(count));
 }
-When(/^(\d+) prompts? (?:is|are) drawn$/, drawnSoMany);
+When(/^(\d+) prompts? (?:is|are) drawn$/, numberDequeued);
 
-function promptsAreAskedFor(this: World, count: number): void {
-  this.told.push(ask(this, count));
+function promptsAreRequested(this: World, count: number): void {
+  this.told.push(dequeue(this, count));
 }
-When("{int} prompts are asked for", promptsAreAskedFor);
+When("{int} prompts are requested", promptsAreRequested);
 
-function othersAreAskedFor(this: World, count: number): void {
-  this.told.push(ask(this, count, ["others"]));
+function otherPromptsAreRequested(this: World, count: number): void {
+  this.told.push(dequeue(this, count, ["others"]));
 }
-When("{int} prompts of another passage are asked for", othersAreAskedFor);
+When("{int} prompts of another passage are requested", otherPromptsAreRequested);
 
-function promptsCame(this: World, count: number, more: string, wait: string | undefined): void {
+function promptsAreReturned(
+  this: World,
+  count: number,
+  more: string,
+  wait: string | undefined,
+): void {
   const last = this.told.at(-1)!;
   ok(last.kind === "DRAWN");
   deepEqual(
@@ -231,18 +236,18 @@
     [count, more, wait === undefined ? undefined : Number(wait)],
   );
 }
-function cameSoMany(this: World, count: string, more: string, wait: string | null): void {
-  promptsCame.call(this, Number(count), more, wait ?? undefined);
+function numberReturned(this: World, count: string, more: string, wait: string | null): void {
+  promptsAreReturned.call(this, Number(count), more, wait ?? undefined);
 }
 Then(
   /^(\d+) prompts came, and then (EMPTY|RATE_LIMITED)(?: with a wait of (\d+) ms)?$/,
-  cameSoMany,
+  numberReturned,
 );
 
-function nothingIsDrawn(this: World): void {
-  deepEqual(ask(this, 8).tasks, []);
+function nothingIsDequeued(this: World): void {
+  deepEqual(dequeue(this, 8).tasks, []);
 }
-Then("nothing is drawn", nothingIsDrawn);
+Then("nothing is drawn", nothingIsDequeued);
 
 function timePasses(this: World, time: number): void {
   this.now += time;
@@ -271,19 +276,19 @@
   return { kind: kind as "never" | "trouble" | "unsent" };
 }
 
-function theDrawnPromptEnds(this: World, kind: string): void {
-  settle(this, this.drawn[0]!, endingOf(kind));
+function theDequeuedPromptEnds(this: World, kind: string): void {
+  settle(this, this.dequeued[0]!, endingOf(kind));
 }
-When(/^the drawn prompt ends as (solved|never|unsent)$/, theDrawnPromptEnds);
+When(/^the drawn prompt ends as (solved|never|unsent)$/, theDequeuedPromptEnds);
 
-function theDrawnPromptBreaks(
+function theDequeuedPromptBreaks(
   this: World,
   upTo: number,
   first: string,
   second: string | null,
 ): void {
   const texts = second === null ? [first] : [first, second];
-  settle(this, this.drawn[0]!, {
+  settle(this, this.dequeued[0]!, {
     kind: "broken",
     text: texts.join("\n"),
     events: texts.length,
@@ -291,18 +296,18 @@
   });
 }
 function breaksAfter(this: World, upTo: string, first: string, second: string | null): void {
-  theDrawnPromptBreaks.call(this, Number(upTo), first, second);
+  theDequeuedPromptBreaks.call(this, Number(upTo), first, second);
 }
 When(/^the drawn prompt breaks after event (\d+) with "(\w+)"(?: and "(\w+)")?$/, breaksAfter);
 
-function theDrawnPromptBreaksAtOnce(this: World): void {
-  settle(this, this.drawn[0]!, endingOf("broken"));
+function theDequeuedPromptBreaksAtOnce(this: World): void {
+  settle(this, this.dequeued[0]!, endingOf("broken"));
 }
-When("the drawn prompt breaks without an event", theDrawnPromptBreaksAtOnce);
+When("the drawn prompt breaks without an event", theDequeuedPromptBreaksAtOnce);
 
 function theNextPromptIs(this: World, index: number, lot: string, upTo: number | undefined): void {
-  promptsAreDrawn.call(this, 1);
-  const [task] = this.drawn as [PassTask];
+  promptsAreDequeued.call(this, 1);
+  const [task] = this.dequeued as [PassTask];
   deepEqual(
     [task.lot, task.index, task.upTo, task.entry.path],
     [lot, index, upTo, `/slips/${index}`],
@@ -316,27 +321,27 @@
 
 function itEnds(this: World, kinds: string): void {
   for (const kind of kinds.matchAll(/fails|breaks/g)) {
-    promptsAreDrawn.call(this, 1);
-    settle(this, this.drawn[0]!, endingOf(kind[0] === "fails" ? "trouble" : "broken"));
+    promptsAreDequeued.call(this, 1);
+    settle(this, this.dequeued[0]!, endingOf(kind[0] === "fails" ? "trouble" : "broken"));
   }
 }
 When(/^it (fails, breaks, fails and breaks|fails)$/, itEnds);
 
 function listed(world: World, lot: string, from: number): readonly ListedResult[] {
-  const told = apply(world, { kind: "results", lot, from });
-  ok(told.kind === "RESULTS", told.kind);
-  return told.results;
+  const result = apply(world, { kind: "results", lot, from });
+  ok(result.kind === "RESULTS", result.kind);
+  return result.results;
 }
 
 function positionIs(
   this: World,
-  place: string,
+  position: string,
   lot: string,
   index: string,
   state: string,
   text: string | null,
 ): void {
-  deepEqual(listed(this, lot, Number(place))[0], {
+  deepEqual(listed(this, lot, Number(position))[0], {
     item: `${lot}-${index}`,
     state,
     text: (text ?? "").replaceAll("/", "\n"),
@@ -356,21 +361,21 @@
 }
 Then(/^"(\w+)" lists items ([\d, ]+) from position (\d+)$/, listsItems);
 
-function theyEndInTurn(this: World): void {
-  for (const task of this.drawn.reverse()) settle(this, task, endingOf("solved"));
+function theyEndInReverse(this: World): void {
+  for (const task of this.dequeued.reverse()) settle(this, task, endingOf("solved"));
 }
-When("they end in turn as solved, the last first", theyEndInTurn);
+When("they end as solved in reverse order", theyEndInReverse);
 
 function itIsEnded(this: World, lot: string): void {
   this.told.push(apply(this, { kind: "end", lot }));
 }
 When("the lot {string} is ended", itIsEnded);
 
-function startsAgain(this: World): void {
+function machineRestarts(this: World): void {
   this.machine = new QueueMachine();
   this.machine.rebuild(this.ledger);
 }
-When("the machine starts again from its records", startsAgain);
+When("the machine starts again from its records", machineRestarts);
 
 function claimsUnderWay(this: World, lot: string): void {
   const claims: Claim[] = [];
@@ -382,32 +387,32 @@
 }
 Then("the claims under way are 0 and 1 of {string}", claimsUnderWay);
 
-function itsPassageGoes(this: World): void {
+function itsPassageIsRemoved(this: World): void {
   this.told.push(apply(this, { kind: "drop-way", way: "slips" }));
 }
-When("its passage goes", itsPassageGoes);
+When("its passage goes", itsPassageIsRemoved);
 
-function bodiesTold(world: World, lot: string): string {
+function readableBodies(world: World, lot: string): string {
   const found: string[] = [];
   for (let index = 0; index < 3; index += 1) {
-    const told = apply(world, { kind: "read-item", lot, item: `${lot}-${index}` });
-    if (told.kind === "BODY") {
-      equal(new TextDecoder().decode(told.body), `body ${index}`);
+    const result = apply(world, { kind: "read-item", lot, item: `${lot}-${index}` });
+    if (result.kind === "BODY") {
+      equal(new TextDecoder().decode(result.body), `body ${index}`);
       found.push(String(index));
     }
   }
   return found.join(", ");
 }
 
-function theBodiesAreTold(this: World, items: string, lot: string): void {
-  equal(bodiesTold(this, lot), items);
+function theBodiesAreReturned(this: World, items: string, lot: string): void {
+  equal(readableBodies(this, lot), items);
 }
-Then(/^the bodies of items ([\d, ]+) of "(\w+)" are told$/, theBodiesAreTold);
+Then(/^the bodies of items ([\d, ]+) of "(\w+)" are told$/, theBodiesAreReturned);
 
-function noBodyIsTold(this: World, lot: string): void {
-  equal(bodiesTold(this, lot), "");
+function noBodyIsReturned(this: World, lot: string): void {
+  equal(readableBodies(this, lot), "");
 }
-Then("no body of {string} is told", noBodyIsTold);
+Then("no body of {string} is told", noBodyIsReturned);
 
 function randomCommand(chance: Chance, claims: PassTask[]): QueueCommand {
   const lot = `lot/${chance.below(14)}`;
@@ -452,7 +457,7 @@
   return left[0] < right[0] ? -1 : 1;
 }
 
-function seedsOfPassages(this: World, seeds: number, steps: number): void {
+function randomCommandsAreApplied(this: World, seeds: number, steps: number): void {
   for (let seed = 0; seed < seeds; seed += 1) {
     const chance = new Chance(seed);
     const [left, right] = [new Ledger(), new Ledger()];
@@ -472,10 +477,10 @@
     for (let step = 0; step < steps; step += 1) {
       now += chance.below(chance.below(30) === 0 ? 120_000 : 300);
       const command = randomCommand(chance, claims);
-      const told = leftMachine.apply(left, command, now);
-      if (JSON.stringify(told) !== JSON.stringify(rightMachine.apply(right, command, now)))
-        this.differences.push(`seed ${seed} step ${step}: ${JSON.stringify(told)}`);
-      if (told.kind === "DRAWN") claims.push(...told.tasks);
+      const result = leftMachine.apply(left, command, now);
+      if (JSON.stringify(result) !== JSON.stringify(rightMachine.apply(right, command, now)))
+        this.differences.push(`seed ${seed} step ${step}: ${JSON.stringify(result)}`);
+      if (result.kind === "DRAWN") claims.push(...result.tasks);
       for (const [key, value] of left.takeChanges()) {
         if (!key.startsWith("result/")) continue;
         const before = shown.get(key);
@@ -491,7 +496,7 @@
         rightMachine = new QueueMachine();
         rightMachine.rebuild(right);
       }
-      this.faults.push(...lookAt(left, seed, step));
+      this.faults.push(...checkRecords(left, seed, step));
     }
     if (
       JSON.stringify(left.snapshot().sort(byKey)) !== JSON.stringify(right.snapshot().sort(byKey))
@@ -500,12 +505,12 @@
   }
 }
 When(
-  "{int} seeds of {int} random commands on passages are played on two machines, one of them rebuilt half-way",
-  seedsOfPassages,
+  "{int} seeds of {int} random commands on passages are applied to two machines, one of them rebuilt half-way",
+  randomCommandsAreApplied,
 );
 
-/** What must hold after every step, worked out from the records alone. */
-function lookAt(ledger: Ledger, seed: number, step: number): string[] {
+/** Checks the invariants after every step, from the records alone. */
+function checkRecords(ledger: Ledger, seed: number, step: number): string[] {
   const faults: string[] = [];
   const waiting = new Map<string, number>();
   const lots = new Map<string, { way: string; open: number; listed: number; total: number }>();
@@ -554,7 +559,7 @@
 function noFaults(this: World): void {
   deepEqual(this.faults.slice(0, 5), []);
 }
-Then("no listed result ever changed, and no item stands twice", noFaults);
+Then("no listed result ever changed, and no item is listed twice", noFaults);
 Then(
   "the waiting tokens never passed the allowance, and records never outlived their lots",
   noFaults,
@@ -573,7 +578,7 @@
   return fault !== "moves";
 }
 
-function lotsArePlayed(this: PlayWorld, named: string, first: string, last: string): void {
+function lotsAreSimulated(this: PlayWorld, named: string, first: string, last: string): void {
   const faults = named.split(", ");
   this.plays = [];
   for (let seed = Number(first); seed <= Number(last); seed += 1) {
@@ -594,21 +599,24 @@
     ok(strikes > 0, fault);
   }
 }
-When(/^lots on passages are played under ([a-z, -]+) with seeds (\d+) to (\d+)$/, lotsArePlayed);
+When(/^lots on passages are played under ([a-z, -]+) with seeds (\d+) to (\d+)$/, lotsAreSimulated);
 
-function breaksNoRule(this: PlayWorld): void {
+function noInvariantIsViolated(this: PlayWorld): void {
   const found: string[] = [];
   for (const { options, violations } of this.plays)
     for (const violation of violations) found.push(`seed ${options.seed}: ${violation}`);
   deepEqual(found.slice(0, 5), []);
 }
-Then("every fault struck, and what callers and runners saw breaks no rule", breaksNoRule);
-Then("what callers and runners saw breaks no rule", breaksNoRule);
+Then(
+  "every fault occurred, and no invariant is violated for callers and runners",
+  noInvariantIsViolated,
+);
+Then("no invariant is violated for callers and runners", noInvariantIsViolated);
 
 function slowItemsAreRead(this: PlayWorld): void {
   this.waits = [];
   this.plays = [];
-  /** Lots are of one item up to a dozen, as each seed draws them. */
+  // Depending on the seed, lots have between one and twelve items.
   for (let seed = 7; seed <= 12; seed += 1) {
     const play = new PassPlay({ seed, stormy: 0, calm: 0, faults: [], access: 3 });
     Object.assign(play.manner, { trouble: 0, tear: 0, turnAway: 0, pieceMs: 60 });
@@ -617,20 +625,20 @@
     this.waits.push(...heldReadDelays(play, 12_000));
     this.plays.push(play);
   }
-  breaksNoRule.call(this);
+  noInvariantIsViolated.call(this);
 }
 When(
-  "a lot of slow items is taken and read with a hold from where its list ends",
+  "a lot of slow items is accepted, and its next results are read with a hold",
   slowItemsAreRead,
 );
 
-function toldWithin(this: PlayWorld, bound: number): void {
+function returnedWithin(this: PlayWorld, bound: number): void {
   ok(this.waits.length >= 10, String(this.waits.length));
   ok(Math.max(...this.waits) <= bound, this.waits.join(", "));
 }
-Then("each result is told within {int} ms of its run's end", toldWithin);
+Then("each result is returned within {int} ms of its run's end", returnedWithin);
 
-function runnerGoesDark(this: PlayWorld): void {
+function runnerBecomesUnresponsive(this: PlayWorld): void {
   this.waits = [];
   for (let seed = 24; seed <= 32; seed += 1) {
     const play = new PassPlay({ seed, stormy: 0, calm: 0, faults: [], access: 3, items: 8 });
@@ -642,14 +650,14 @@
   }
   ok(this.waits.length >= 6, "most lots are not ended by their clients");
 }
-When("a runner goes dark amid its runs of items", runnerGoesDark);
+When("a runner becomes unresponsive while it runs items", runnerBecomesUnresponsive);
 
 function lastFinishedWithin(this: PlayWorld, seconds: number): void {
   ok(Math.max(...this.waits) <= seconds * 1_000, this.waits.join(", "));
 }
 Then("the last item of the lot is finished within {int} s", lastFinishedWithin);
 
-function theOnlyDispatcherDies(this: PlayWorld): void {
+function theOnlyDispatcherRestarts(this: PlayWorld): void {
   this.waits = [];
   for (let seed = 9; seed <= 14; seed += 1) {
     const play = new PassPlay({ seed, stormy: 0, calm: 0, faults: [], access: 1, items: 3 });
@@ -661,14 +669,14 @@
   }
   ok(this.waits.length >= 4, "most lots are not ended by their clients");
 }
-When("the only dispatcher dies amid its runs and begins anew", theOnlyDispatcherDies);
+When("the only dispatcher crashes while its items run, and restarts", theOnlyDispatcherRestarts);
 
-function beganAgainWithin(this: PlayWorld, bound: number): void {
+function restartedWithin(this: PlayWorld, bound: number): void {
   ok(Math.max(...this.waits) <= bound, this.waits.join(", "));
 }
-Then("they begin again within {int} ms of its first draw", beganAgainWithin);
+Then("the items start again within {int} ms of its first dequeue", restartedWithin);
 
-interface Seen {
+interface ObservedMessage {
   readonly kind: string;
   readonly command?: { readonly kind: string };
   readonly outcome?: {
@@ -679,13 +687,13 @@
   };
 }
 
-type Watch = (play: PassPlay, message: Seen) => number | undefined;
+type MessageDelay = (play: PassPlay, message: ObservedMessage) => number | undefined;
 
-/** Plays in which some messages are held up; strikes say how often. */
-function playWatched(
+/** Simulations in which some messages are delayed; `strikes` counts those. */
+function simulateWithDelays(
   seeds: number,
   options: Partial<PassPlayOptions>,
-  watched: Watch,
+  delayOf: MessageDelay,
 ): { plays: PassPlay[]; strikes: number } {
   const plays: PassPlay[] = [];
   let strikes = 0;
@@ -700,7 +708,7 @@
     });
     function watch(_from: string, _to: string, message: unknown): number | undefined {
       if (play.world.now < 7_000 || play.world.now > 22_000) return undefined;
-      const held = watched(play, message as Seen);
+      const held = delayOf(play, message as ObservedMessage);
       if (held !== undefined) strikes += 1;
       return held;
     }
@@ -710,13 +718,13 @@
   return { plays, strikes };
 }
 
-function handInsAreHeldUp(this: PlayWorld): void {
-  function watched(play: PassPlay, { kind, command }: Seen): number | undefined {
+function submissionsAreDelayed(this: PlayWorld): void {
+  function delayOf(play: PassPlay, { kind, command }: ObservedMessage): number | undefined {
     return kind === "queue-inquiry" && command?.kind === "hand-in" && play.world.chance.happens(0.3)
       ? play.world.chance.between(900, 6_000)
       : undefined;
   }
-  const { plays, strikes } = playWatched(10, { allowance: 300 }, watched);
+  const { plays, strikes } = simulateWithDelays(10, { allowance: 300 }, delayOf);
   ok(strikes > 100, String(strikes));
   let refused = 0;
   for (const { counts } of plays) refused += counts["hand-in refused"] ?? 0;
@@ -724,12 +732,12 @@
   this.plays = plays;
 }
 When(
-  "hand-ins are held up on their way for longer than callers wait, to a queue that is full at times",
-  handInsAreHeldUp,
+  "submissions to an often full queue are delayed for longer than callers wait",
+  submissionsAreDelayed,
 );
-Then("no part of a lot runs that was refused at every try", breaksNoRule);
+Then("no item runs of a lot that was refused at every attempt", noInvariantIsViolated);
 
-function mostWereTold(this: PlayWorld): void {
+function mostAreDefinite(this: PlayWorld): void {
   let [sure, unsure] = [0, 0];
   for (const { counts } of this.plays) {
     sure += (counts["hand-in refused"] ?? 0) + (counts["hand-in taken"] ?? 0);
@@ -737,11 +745,11 @@
   }
   ok(sure > unsure * 4, `${sure} ${unsure}`);
 }
-Then("most that were held up were refused or taken all the same", mostWereTold);
+Then("most delayed submissions are still definitely refused or accepted", mostAreDefinite);
 
-function grantsAreHeldUp(this: PlayWorld): void {
+function grantsAreDelayed(this: PlayWorld): void {
   let ended = 0;
-  function watched(play: PassPlay, { kind, outcome }: Seen): number | undefined {
+  function delayOf(play: PassPlay, { kind, outcome }: ObservedMessage): number | undefined {
     if (
       kind !== "queue-result" ||
       outcome?.value?.kind !== "DRAWN" ||
@@ -752,27 +760,27 @@
     for (const { lot } of outcome.value.tasks!) if (play.endLot(lot)) ended += 1;
     return 4_000;
   }
-  const { plays, strikes } = playWatched(8, {}, watched);
+  const { plays, strikes } = simulateWithDelays(8, {}, delayOf);
   ok(strikes > 30 && ended > 20, `${strikes} ${ended}`);
   this.plays = plays;
 }
-When("grants of prompts are held up for 4 s while their lots are ended", grantsAreHeldUp);
+When("grants are delayed by 4 s while their lots are ended", grantsAreDelayed);
 
-function endingsAreHeldUp(this: PlayWorld): void {
-  function watched(play: PassPlay, { kind, command }: Seen): number | undefined {
+function endingsAreDelayed(this: PlayWorld): void {
+  function delayOf(play: PassPlay, { kind, command }: ObservedMessage): number | undefined {
     if (kind !== "queue-inquiry" || command?.kind !== "settle" || !play.world.chance.happens(0.2))
       return undefined;
     return play.world.chance.happens(0.5)
       ? Number.POSITIVE_INFINITY
       : play.world.chance.between(500, 5_000);
   }
-  const { plays, strikes } = playWatched(8, {}, watched);
+  const { plays, strikes } = simulateWithDelays(8, {}, delayOf);
   ok(strikes > 100, String(strikes));
   this.plays = plays;
 }
-When("endings are held up or lost on their way to the owner", endingsAreHeldUp);
+When("settle requests to the owner are delayed or lost", endingsAreDelayed);
 
-function notRunTooOften(this: PlayWorld): void {
+function atMostTwoRuns(this: PlayWorld): void {
   let runs = 0;
   let items = 0;
   for (const { counts } of this.plays) {
@@ -781,9 +789,9 @@
   }
   ok(runs <= items * 2, `${runs} runs of ${items} items`);
 }
-Then("no item was run more than twice as often as it had to be", notRunTooOften);
+Then("there are at most two runs per item on average", atMostTwoRuns);
 
-function aNodeIsCutOff(this: PlayWorld): void {
+function aNodeIsPartitioned(this: PlayWorld): void {
   const play = new PassPlay({ seed: 11, stormy: 0, calm: 0, faults: [], access: 1 });
   play.begin();
   play.world.run(6_500);
@@ -791,9 +799,9 @@
   this.waits = handInDelays(play, 12, 150);
   this.plays = [play];
 }
-When("a node is cut off and lots are handed in there", aNodeIsCutOff);
+When("a node is partitioned from the others and lots are submitted there", aNodeIsPartitioned);
 
-function eachHearsWithin(this: PlayWorld, bound: number): void {
+function eachIsAnsweredWithin(this: PlayWorld, bound: number): void {
   equal(this.waits.length, 12);
   ok(Math.max(...this.waits) <= bound, this.waits.join(", "));
   ok(
@@ -801,9 +809,9 @@
       (this.plays[0]!.counts["hand-in refused"] ?? 0) > 0,
     JSON.stringify(this.plays[0]!.counts),
   );
-  breaksNoRule.call(this);
+  noInvariantIsViolated.call(this);
 }
 Then(
-  "each of its callers hears within {int} ms, and none that it was refused while it may be taken",
-  eachHearsWithin,
+  "each of its callers is answered within {int} ms, and none is refused a lot that may be accepted",
+  eachIsAnsweredWithin,
 );
