--- a/packages/parts/src/lot-records.ts
+++ b/packages/parts/src/lot-records.ts
@@ -1,3 +1,4 @@
+/** Records of lots and items in the ledger of a queue, and their keys. */
 import { constants } from "./constants.js";
 import type { Ledger } from "./ledger.js";
 import type { Item, ItemState, ItemView, Lot, QueueResult } from "./lot-messages.js";
--- a/packages/parts/src/lot-shares.ts
+++ b/packages/parts/src/lot-shares.ts
@@ -1,3 +1,4 @@
+/** A queue's limits and its share of waiting work, divided by season. */
 import type { Limits } from "./bucket.js";
 import { season as seasons, type Selector } from "./season.js";
 
--- a/packages/parts/src/pass-reads.ts
+++ b/packages/parts/src/pass-reads.ts
@@ -1,3 +1,4 @@
+/** Reads of lots on passages. */
 import { constants } from "./constants.js";
 import type { Ledger } from "./ledger.js";
 import type { ListedResult, PassCommand, PassEntry, PassResult } from "./pass-messages.js";
--- a/packages/parts/src/pass-records.ts
+++ b/packages/parts/src/pass-records.ts
@@ -1,3 +1,4 @@
+/** Records of lots on passages in the ledger of a queue, and their keys. */
 import type { Claim, Tenancy } from "./pass-messages.js";
 
 /** A lot (batch job) that was submitted on a passage, as stored by its queue. */
--- a/packages/parts/src/queue-bucket.ts
+++ b/packages/parts/src/queue-bucket.ts
@@ -1,3 +1,4 @@
+/** The token bucket of a queue, and the ledger keys that all kinds of lots share. */
 import { bucket, type Bucket, type Limits } from "./bucket.js";
 import type { Ledger } from "./ledger.js";
 
