--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -46,12 +46,12 @@
 import { HeadPlanner } from "./head-planner.js";
 import { HeadRequests, type HeadRequest } from "./head-requests.js";
 import { keys } from "./keys.js";
-import { LeaseCoverage, isTakenByFleet, knowsGrants } from "./lease-coverage.js";
+import { LeaseCoverage, isAcceptedByFleet, knowsAllLeases } from "./lease-coverage.js";
 import type { ControlCommand, ControlResult, FleetRecord } from "./machine.js";
 import { ControlZones } from "./control-zones.js";
-import { NodeHeartbeats, newsFor } from "./node-heartbeats.js";
+import { NodeHeartbeats, feedUpdateFor } from "./node-heartbeats.js";
 import { PeerHeartbeats } from "./peer-heartbeats.js";
-import { surroundingsOf, type SurroundingsSource } from "./queue-reports.js";
+import { planningContextOf, type PlanningContextSource } from "./queue-reports.js";
 import { QuorumContact } from "./quorum-contact.js";
 import { isDeregistered, takeReport } from "./runner-announcements.js";
 import { SharesInStep } from "./shares-in-step.js";
@@ -62,19 +62,20 @@
 type ChainResult = Extract<ChainCommand, { kind: "result" }>;
 
 const noView = "the control group has no view yet";
-const tooSoon = "the head of the control group has not heard of all machines yet";
+const notReadyToPlan = "the head of the control group has not heard of all machines yet";
 const notHead = "this control machine is not the head, or the group has too few copies";
-/** Why a machine without contact runs nothing. */
+/** Reason returned for requests that arrive while no majority of the control group is reachable. */
 export const noQuorum = "this control machine reaches no majority of the control group";
 
 /**
- * A control machine without I/O (docs/design.md §2, §4, §7, §8): takes messages, finished writes and the passing of time, and
- * returns what is to be sent, written and answered. Ties the chain of control records, the agreed view, the feed to nodes,
- * sessions with leases, and the plans of the head.
+ * State machine of a control machine, without I/O (docs/design.md §2, §4, §7, §8). Its inputs are messages, completed writes and
+ * clock ticks; its outputs are messages to send, writes to make and results to return. It combines the replicated chain of
+ * control records, the agreement on views, the feed to nodes, the sessions and leases of nodes, and the planning that the head of
+ * the chain does.
  */
 export class ControlCore {
   #self: Member;
-  #life: string;
+  #incarnation: string;
   #agreement: Agreement;
   #chain: Chain;
   #feed: Feed;
@@ -82,36 +83,44 @@
   #sessions: Sessions;
   #requests = new HeadRequests();
   #sharesInStep = new SharesInStep();
-  #coverage: LeaseCoverage;
+  #leaseCoverage: LeaseCoverage;
   #grantFloor: GrantFloor;
-  #planAt = 0;
-  /** No machine is taken out before: what is not heard may be this machine's own silence (§8.2). */
-  #planFrom: number;
-  #beatAt: number;
-  #forgetAt = 0;
-  #wall = 0;
+  /** Monotonic time in ms of the last planning round. */
+  #lastPlanAt = 0;
+  /**
+   * Monotonic time in ms before which the head makes no plans and removes no machine: missing heartbeats may be caused by this
+   * machine itself (docs/design.md §8.2).
+   */
+  #planNotBefore: number;
+  /** Monotonic time in ms of the last tick. */
+  #lastTickAt: number;
+  /** Monotonic time in ms at which expired state was last discarded. */
+  #lastForgetAt = 0;
+  /** Wall-clock time in ms of the last tick. */
+  #lastWallTime = 0;
   #planner: HeadPlanner;
   #nodeHeartbeats = new NodeHeartbeats();
   #peerHeartbeats: PeerHeartbeats;
   #zones: ControlZones;
   #forwarding: Forwarding;
-  #contact: QuorumContact;
+  #quorumContact: QuorumContact;
   #silentNodes = new SilentNodes();
   #dutyRecords: DutyRecords;
   #usage: ControlUsage;
-  /** Addresses of control machines that decide rounds of duties. */
-  readonly #decidingDuties = new Set<string>();
-  #calledSilentAt = Number.NEGATIVE_INFINITY;
+  /** Addresses of the control machines whose release can decide duty rounds. */
+  readonly #dutyDeciders = new Set<string>();
+  /** Monotonic time in ms at which silent nodes were last sent the control addresses. */
+  #lastAddressesSentAt = Number.NEGATIVE_INFINITY;
   #disk: DiskCondition = "writable";
-  /** A planned stop is under way. */
+  /** Whether a planned stop has begun. */
   #isStopping = false;
 
   constructor(origin: ControlOrigin, now: number) {
     this.#self = origin.member;
-    this.#life = origin.life;
+    this.#incarnation = origin.life;
     this.#policy = origin.policy ?? policy.usual;
     this.#sessions = new Sessions(this.#policy);
-    this.#contact = new QuorumContact(origin.member.address, origin.life);
+    this.#quorumContact = new QuorumContact(origin.member.address, origin.life);
     this.#usage = new ControlUsage(origin.member, origin.life, this.#policy.usageWindow);
     this.#forwarding = new Forwarding(origin.life);
     this.#peerHeartbeats = new PeerHeartbeats(origin.life, origin.zone);
@@ -121,56 +130,60 @@
     this.#chain = chainFrom(origin, this.#policy, now);
     this.#feed = feedFrom(origin, this.#isMember);
     this.#dutyRecords = dutyRecordsFrom(origin, this.#isMember);
-    this.#coverage = new LeaseCoverage(now);
+    this.#leaseCoverage = new LeaseCoverage(now);
     this.#grantFloor = new GrantFloor(origin.holding?.state.place ?? 0);
-    this.#planFrom = now + constants.sessionLasts;
-    this.#beatAt = now;
+    this.#planNotBefore = now + constants.sessionLasts;
+    this.#lastTickAt = now;
   }
 
   get view(): ChainView | undefined {
     return this.#chain.view;
   }
+  /** Log index up to which the feed has been applied. */
   get place(): number {
     return this.#feed.place;
   }
   get isHead(): boolean {
     return this.#chain.isHead;
   }
-  /** Requests that began to run, by window and tenant, as all access nodes tell them (§14.2). */
+  /** Number of requests started per window and tenant, as reported by all access nodes (docs/design.md §14.2). */
   get usage(): UsageLedger {
     return this.#usage.ledger;
   }
-  /** True time, by which windows of usage are told apart (§14.1). */
+  /** Time agreed on by the control machines; it assigns requests to usage windows (docs/design.md §14.1). */
   get agreedTime(): AgreedTime {
     return this.#usage.time;
   }
 
-  /** Of duties at the platform, as confirmed and known here. */
+  /** Committed records of the duties performed at the platform, as far as known on this machine. */
   get dutyRecords(): DutyRecords {
     return this.#dutyRecords;
   }
 
-  /** A planned stop: the others take the view over at once (§8.6). */
+  /** Starts a planned stop; the remaining members form a view without this machine at once (docs/design.md §8.6). */
   leave(now: number): ControlOutput[] {
     this.#isStopping = true;
-    return this.#vote(this.#agreement.leave(), now);
+    return this.#performViewCommands(this.#agreement.leave(), now);
   }
 
   /**
-   * The disk of this machine refuses writes, or takes them again. Meanwhile the others go on without it as without one that stops, as
-   * long as enough copies stay; it enters no change and goes on with reads.
+   * Handles a disk that has become read-only or writable again. While the disk refuses writes, the other members remove this machine
+   * from the view as if it were stopping, provided that enough copies remain. This machine then rejects changes but still serves reads.
    */
   diskChanged(condition: DiskCondition, now: number): ControlOutput[] {
     this.#disk = condition;
     const outputs = this.#isWritable ? [] : this.#abandonRequests();
     if (!this.#isStopping)
       outputs.push(
-        ...this.#vote(this.#isWritable ? this.#agreement.stay() : this.#agreement.leave(), now),
+        ...this.#performViewCommands(
+          this.#isWritable ? this.#agreement.stay() : this.#agreement.leave(),
+          now,
+        ),
       );
     return outputs;
   }
 
-  /** Nobody waits for what was entered here: whether it takes effect is for the next head to find out. */
+  /** Ends all requests submitted here as the head with an unknown outcome; the next head decides whether they take effect. */
   #abandonRequests(): ControlOutput[] {
     const outputs: ControlOutput[] = [];
     for (const [id] of this.#requests.entries())
@@ -182,7 +195,7 @@
     return this.#disk === "writable";
   }
 
-  /** Whether one that stops as planned must wait: it is a member yet, or the others are too few without it (§8.6). */
+  /** Whether a planned stop must wait: this machine is still a member, or too few would remain without it (docs/design.md §8.6). */
   get isNeeded(): boolean {
     return this.#isMember || this.#agreement.isNeeded;
   }
@@ -191,57 +204,58 @@
     return this.#chain.position >= 0;
   }
 
-  /** Called once after start: a view decided before a crash may not have reached the chain. */
+  /** Called once after start: the chain may have missed a view that was decided just before a crash. */
   start(now: number): ControlOutput[] {
     const view = this.#agreement.view;
-    return view === undefined ? [] : this.#perform(this.#chain.adopt(view, now), now);
+    return view === undefined ? [] : this.#performChainCommands(this.#chain.adopt(view, now), now);
   }
 
   receive(message: ControlMessage, from: string, now: number): ControlOutput[] {
-    if (isViewMessage(message)) return this.#vote(this.#agreement.receive(message, from, now), now);
+    if (isViewMessage(message))
+      return this.#performViewCommands(this.#agreement.receive(message, from, now), now);
     if (isChainMessage(message))
       return message.chain === "control"
-        ? this.#perform(this.#chain.receive(message, from, now), now)
+        ? this.#performChainCommands(this.#chain.receive(message, from, now), now)
         : [];
     switch (message.kind) {
       case "session":
         return this.#heartbeat(message, now);
       case "roll":
-        this.#sessions.merge(message.roll, now, lateness(message.back, this.#life, now));
+        this.#sessions.merge(message.roll, now, lateness(message.back, this.#incarnation, now));
         this.#peerHeartbeats.heard(from, message.stamp, now);
         this.#zones.heard(from, message.zone);
-        this.#contact.heard(from, message.back, now);
-        if (message.decidesDuties === true) this.#decidingDuties.add(from);
-        else this.#decidingDuties.delete(from);
-        return this.#usage.heardPeer(from, message, this.#isOver(now), now);
+        this.#quorumContact.heard(from, message.back, now);
+        if (message.decidesDuties === true) this.#dutyDeciders.add(from);
+        else this.#dutyDeciders.delete(from);
+        return this.#usage.heardPeer(from, message, this.#isNodeGone(now), now);
       case "usage":
         return this.#usage.take(message, from, now);
       case "runners":
         for (const card of message.runners) this.#sessions.announced(card, now - card.age);
         return [];
       case "covered":
-        return this.#coveredFrom(message.identity, message.mark, message.place, now);
+        return this.#receiveCoverage(message.identity, message.mark, message.place, now);
       case "control-inquiry":
-        return this.#enter(message.ticket, message.command, from, now);
+        return this.#enterAsHead(message.ticket, message.command, from, now);
       case "control-result":
-        return this.#returned(message.ticket, message.outcome);
+        return this.#handleOutcome(message.ticket, message.outcome);
       default:
         return [];
     }
   }
 
-  /** Whether an access node's life is over, as far as is known here: it tells nothing itself any more. */
-  #isOver(now: number): (life: string) => boolean {
+  /** Predicate for access node incarnations without a live session: they no longer report their usage themselves. */
+  #isNodeGone(now: number): (incarnation: string) => boolean {
     const present = new Set(this.#sessions.live("access", now).map(({ identity }) => identity));
-    return (life) => !present.has(life);
+    return (incarnation) => !present.has(incarnation);
   }
 
-  /** Whether what is acknowledged here can be brought to all: a majority of control was reached just now. */
+  /** Whether a majority of the control group was reached recently, so that what is acknowledged here can be replicated. */
   inContact(now: number): boolean {
-    return this.#contact.hasQuorum(this.#agreement.view, now);
+    return this.#quorumContact.hasQuorum(this.#agreement.view, now);
   }
 
-  /** What duties at the platform are performed by; undefined where this machine may win no round, or is about to stop. */
+  /** Input for performing duties at the platform; undefined if this machine is stopping or may not win a duty round. */
   dutySituation(now: number): DutyGround | undefined {
     const view = this.#chain.view;
     if (view === undefined || this.#isStopping || !this.#isMember) return undefined;
@@ -254,13 +268,13 @@
     };
   }
 
-  /** What the number of runners goes by. */
+  /** Input for deciding the number of runners. */
   scalingFacts(now: number): ScalingFacts {
-    const held = configuration.read(this.#feed.read<MarkedConfiguration>(keys.configuration));
+    const current = configuration.read(this.#feed.read<MarkedConfiguration>(keys.configuration));
     const ordered = orderedRunners(this.#dutyRecords);
     return scalingFactsOf(
       {
-        configuration: held.value,
+        configuration: current.value,
         sessions: this.#sessions,
         ordered: (pool) => ordered.get(pool) ?? new Map<string, number>(),
       },
@@ -268,13 +282,13 @@
     );
   }
 
-  /** A head of an earlier release would not understand a claim. */
+  /** Whether the head can decide duty rounds; a head of an earlier release does not know claim commands. */
   #headDecidesDuties({ members }: ChainView): boolean {
     const head = members[0]!;
-    return head.identity === this.#self.identity || this.#decidingDuties.has(head.address);
+    return head.identity === this.#self.identity || this.#dutyDeciders.has(head.address);
   }
 
-  /** An operator's or node's request: entered at the head, from wherever it arrived; refused at once where no majority is reached. */
+  /** Forwards a request of an operator or a node to the head; rejects it at once if no majority is reachable. */
   inquire(ticket: string, command: ControlCommand, now: number): ControlOutput[] {
     if (!this.inContact(now))
       return [{ kind: "result", ticket, result: { kind: "not-run", reason: noQuorum } }];
@@ -285,19 +299,20 @@
     const head = this.#newestView?.members[0];
     const command = this.#forwarding.send(id, head?.address, now);
     if (command === undefined) return [];
-    if (head === undefined) return this.#returned(id, { kind: "not-run", reason: noView });
-    if (head.identity === this.#self.identity) return this.#enter(id, command, undefined, now);
+    if (head === undefined) return this.#handleOutcome(id, { kind: "not-run", reason: noView });
+    if (head.identity === this.#self.identity)
+      return this.#enterAsHead(id, command, undefined, now);
     const message: ControlMessage = { kind: "control-inquiry", ticket: id, command };
     return [{ kind: "send", to: head.address, message }];
   }
 
-  /** The newest view that was decided, also where this machine cannot keep it yet: enough to know whom to ask. */
+  /** Newest decided view, even if this machine could not persist it yet; it suffices to find the head. */
   get #newestView(): ChainView | undefined {
     return this.#agreement.view ?? this.#chain.view;
   }
 
-  #returned(id: string, outcome: ControlOutcome): ControlOutput[] {
-    /** Whether another member may take the place of a head whose disk takes no writes. */
+  #handleOutcome(id: string, outcome: ControlOutcome): ControlOutput[] {
+    // Whether another member may replace a head whose disk refuses writes.
     const canReplaceHead = (this.#chain.view?.members.length ?? 0) > this.#policy.copiesLeast;
     const ended = this.#forwarding.answered(id, outcome, canReplaceHead);
     return ended === undefined ? [] : [resultOf(ended)];
@@ -310,23 +325,25 @@
     return outputs;
   }
 
-  #enter(
+  #enterAsHead(
     ticket: string,
     command: ControlCommand,
     to: string | undefined,
     now: number,
   ): ControlOutput[] {
     if (this.#requests.has(ticket, to)) return [];
-    if (!this.#isWritable && command.kind !== "read") return this.#answer(ticket, to, unwritable);
-    const judged = this.#withSight(command, now);
-    if (judged === undefined) return this.#answer(ticket, to, { kind: "not-run", reason: tooSoon });
+    if (!this.#isWritable && command.kind !== "read")
+      return this.#sendOutcome(ticket, to, unwritable);
+    const complete = this.#withStorageMachines(command, now);
+    if (complete === undefined)
+      return this.#sendOutcome(ticket, to, { kind: "not-run", reason: notReadyToPlan });
     const id = this.#requests.add(ticket, to, now);
-    return this.#perform(this.#chain.inquire(id, judged, now), now);
+    return this.#performChainCommands(this.#chain.inquire(id, complete, now), now);
   }
 
-  #answer(ticket: string, to: string | undefined, outcome: ControlOutcome): ControlOutput[] {
+  #sendOutcome(ticket: string, to: string | undefined, outcome: ControlOutcome): ControlOutput[] {
     return to === undefined
-      ? this.#returned(ticket, outcome)
+      ? this.#handleOutcome(ticket, outcome)
       : [{ kind: "send", to, message: { kind: "control-result", ticket, outcome } }];
   }
 
@@ -334,19 +351,25 @@
     const request = this.#requests.get(id);
     if (request === undefined) return [];
     this.#requests.remove(id);
-    return this.#answer(request.ticket, request.to, outcome);
+    return this.#sendOutcome(request.ticket, request.to, outcome);
   }
 
-  /** A command with what the head knows of storage machines; undefined while their silence may be the head's own. */
-  #withSight(command: ControlCommand, now: number): ControlCommand | undefined {
+  /**
+   * Adds the head's list of live storage machines to commands that need it. Returns undefined for a drain request that comes before
+   * the head may plan, since missing heartbeats may then be caused by the head itself.
+   */
+  #withStorageMachines(command: ControlCommand, now: number): ControlCommand | undefined {
     if (command.kind !== "empty" && command.kind !== "emptying") return command;
     const sight = emptying.sightOf(this.#sessions.live("storage", now), this.#policy);
     if (command.kind === "emptying") return { ...command, sight };
-    if (command.wanted && this.#chain.serves && now < this.#planFrom) return undefined;
+    if (command.wanted && this.#chain.serves && now < this.#planNotBefore) return undefined;
     return emptying.resolved(this.#feed, command, sight);
   }
 
-  /** A runner's own report, made here; passed on at once where others should not wait for the registry (§13.8). */
+  /**
+   * Records a report that a runner sent to this machine, and broadcasts it if other machines should not wait for the next registry
+   * exchange (docs/design.md §13.8). `told` is the answer to the runner.
+   */
   announce(
     card: Omit<RunnerCard, "age">,
     sequence: number,
@@ -366,30 +389,36 @@
   }
 
   writtenChain(ticket: number, now: number): ControlOutput[] {
-    return this.#perform(this.#chain.written(ticket, now), now);
+    return this.#performChainCommands(this.#chain.written(ticket, now), now);
   }
 
   writtenVote(ticket: number, now: number): ControlOutput[] {
-    return this.#vote(this.#agreement.written(ticket), now);
+    return this.#performViewCommands(this.#agreement.written(ticket), now);
   }
 
-  #vote(commands: ViewCommand[], now: number): ControlOutput[] {
+  #performViewCommands(commands: ViewCommand[], now: number): ControlOutput[] {
     const outputs: ControlOutput[] = [];
     for (const command of commands) {
       if (command.kind === "decided") {
-        outputs.push(...this.#adopt(command.view, now));
+        outputs.push(...this.#adoptView(command.view, now));
       } else if (command.kind === "send" && command.to === this.#self.address) {
         outputs.push(
-          ...this.#vote(this.#agreement.receive(command.message, this.#self.address, now), now),
+          ...this.#performViewCommands(
+            this.#agreement.receive(command.message, this.#self.address, now),
+            now,
+          ),
         );
       } else outputs.push(command);
     }
     return outputs;
   }
 
-  #adopt(view: ChainView, now: number): ControlOutput[] {
+  #adoptView(view: ChainView, now: number): ControlOutput[] {
     const settledBefore = this.#agreement.settledBefore;
-    this.#coverage.viewDecided(knowsGrants(this.#chain.view, view, settledBefore, now), now);
+    this.#leaseCoverage.viewDecided(
+      knowsAllLeases(this.#chain.view, view, settledBefore, now),
+      now,
+    );
     const facts = {
       mark: view.mark,
       members: view.members.length,
@@ -398,12 +427,15 @@
     const wasMember = this.#isMember;
     const commands = this.#chain.adopt(view, now);
     if (!wasMember && this.#isMember) this.#grantFloor.becameMember(this.#chain.place);
-    return [{ kind: "note", text: "view decided", facts }, ...this.#perform(commands, now)];
+    return [
+      { kind: "note", text: "view decided", facts },
+      ...this.#performChainCommands(commands, now),
+    ];
   }
 
-  #perform(commands: ChainCommand[], now: number): ControlOutput[] {
+  #performChainCommands(commands: ChainCommand[], now: number): ControlOutput[] {
     const outputs: ControlOutput[] = [];
-    let news = false;
+    let hasFeedUpdates = false;
     for (const command of commands) {
       switch (command.kind) {
         case "send":
@@ -413,52 +445,52 @@
         case "confirmed":
           this.#feed.take(command.place, command.changes);
           this.#dutyRecords.take(command.changes);
-          news = true;
+          hasFeedUpdates = true;
           break;
         case "restored":
           this.#feed.restore(command.place, command.records);
           this.#dutyRecords.restore(command.records);
-          news = true;
+          hasFeedUpdates = true;
           break;
         case "result":
-          outputs.push(...this.#chainResult(command, now));
+          outputs.push(...this.#handleChainResult(command, now));
           break;
       }
     }
-    if (news) outputs.push(...this.#feedAll(now), ...this.#cover(now));
+    if (hasFeedUpdates) outputs.push(...this.#sendFeedUpdates(now), ...this.#reportCoverage(now));
     return outputs;
   }
 
-  #chainResult({ ticket: id, result }: ChainResult, now: number): ControlOutput[] {
+  #handleChainResult({ ticket: id, result }: ChainResult, now: number): ControlOutput[] {
     const request = this.#requests.get(id);
     if (request === undefined) return [];
     if (result.kind === "elsewhere") return this.#finish(id, { kind: "not-run", reason: notHead });
     if (result.kind === "unknown") return this.#finish(id, { kind: "unknown" });
     request.result = { value: result.value as ControlResult, place: result.place };
-    /** The shares that follow from it are entered with the next beat. */
-    if (request.result.value.kind === "IN_FORCE") this.#planAt = Number.NEGATIVE_INFINITY;
-    return this.#release(now);
+    // Plan at the next tick: a change of the configuration may change the shares.
+    if (request.result.value.kind === "IN_FORCE") this.#lastPlanAt = Number.NEGATIVE_INFINITY;
+    return this.#answerRequestsInForce(now);
   }
 
-  /** A change is told as confirmed only when it is in force: all lease holders of all members have it (§7). */
-  #release(now: number): ControlOutput[] {
+  /** Acknowledges committed changes that are in force, i.e. known to the lease holders of all members (docs/design.md §7). */
+  #answerRequestsInForce(now: number): ControlOutput[] {
     const outputs: ControlOutput[] = [];
     let covered: number | undefined;
-    for (const [id, held] of this.#requests.entries()) {
-      if (held.result === undefined) continue;
-      held.inForceBy ??= this.#inForceBy(held.result);
-      if (held.inForceBy === undefined) continue;
+    for (const [id, request] of this.#requests.entries()) {
+      if (request.result === undefined) continue;
+      request.inForceBy ??= this.#inForceBy(request.result);
+      if (request.inForceBy === undefined) continue;
       covered ??= this.#coveredByAll(now);
-      if (held.inForceBy <= covered && this.#fleetTook(held.inForceBy))
+      if (request.inForceBy <= covered && this.#isAcceptedByFleet(request.inForceBy))
         outputs.push(
-          ...this.#noteInForce(held, now),
-          ...this.#finish(id, { kind: "confirmed", ...held.result }),
+          ...this.#noteInForce(request, now),
+          ...this.#finish(id, { kind: "confirmed", ...request.result }),
         );
     }
     return outputs;
   }
 
-  /** Why a change of the configuration is told as in force now: what each member's lease holders have. */
+  /** Logs for a configuration change what each member's lease holders know when it is acknowledged as in force. */
   #noteInForce({ since, result, inForceBy }: HeadRequest, now: number): ControlOutput[] {
     if (result?.value.kind !== "IN_FORCE") return [];
     const facts = {
@@ -467,23 +499,26 @@
       inForceBy,
       waited: Math.round(now - since),
       view: this.#chain.view?.mark,
-      own: this.#ownCover(now),
+      own: this.#ownCoverage(now),
       holders: this.#sessions.holders(now),
-      others: this.#coverage.toldBy(this.#otherMembers),
+      others: this.#leaseCoverage.toldBy(this.#otherMembers),
     };
     return [{ kind: "note", text: "a change is in force", facts }];
   }
 
-  /** What changed the configuration needs the shares that follow from it, too; rounds of duties concern no node. */
+  /**
+   * Log index that all lease holders must reach before the result is returned. A configuration change also needs the shares that
+   * follow from it; the results of duty rounds concern no node.
+   */
   #inForceBy({ value, place }: { value: ControlResult; place: number }): number | undefined {
     if (isClaimResult(value)) return 0;
     return value.kind === "IN_FORCE" ? this.#sharesInStep.inForceBy(place, this.#feed) : place;
   }
 
-  /** The place that all holders of leases of all members have. */
+  /** Log index up to which the lease holders of all members have the feed. */
   #coveredByAll(now: number): number {
     if (this.#chain.view === undefined) return 0;
-    return this.#coverage.ofAll(this.#otherMembers, this.#ownCover(now));
+    return this.#leaseCoverage.ofAll(this.#otherMembers, this.#ownCoverage(now));
   }
 
   get #otherMembers(): readonly Member[] {
@@ -491,30 +526,33 @@
     return members.filter(({ identity }) => identity !== this.#self.identity);
   }
 
-  #ownCover(now: number): number {
-    return this.#coverage.own(this.#sessions, this.#feed.place, now);
+  #ownCoverage(now: number): number {
+    return this.#leaseCoverage.own(this.#sessions, this.#feed.place, now);
   }
 
-  /** Without this, a majority of nodes that cannot hear control might go on by each other's promises (§7.4). */
-  #fleetTook(place: number): boolean {
-    /** Nodes that go on alone promise nothing to each other (§13.3). */
+  /**
+   * Whether the fleet has accepted the feed up to a log index. Without this check, a majority of nodes cut off from the control group
+   * could keep serving on promises made to each other (docs/design.md §7.4).
+   */
+  #isAcceptedByFleet(place: number): boolean {
+    // Under this policy nodes make no promises to each other (docs/design.md §13.3).
     if (this.#policy.goesOnAlone) return true;
-    return isTakenByFleet(this.#feed.read<FleetRecord>(keys.fleet), place, this.#sessions);
+    return isAcceptedByFleet(this.#feed.read<FleetRecord>(keys.fleet), place, this.#sessions);
   }
 
-  #coveredFrom(identity: string, mark: number, place: number, now: number): ControlOutput[] {
+  #receiveCoverage(identity: string, mark: number, place: number, now: number): ControlOutput[] {
     if (mark !== this.#chain.view?.mark) return [];
-    this.#coverage.told(identity, place);
-    return this.#release(now);
+    this.#leaseCoverage.told(identity, place);
+    return this.#answerRequestsInForce(now);
   }
 
-  /** Tells the head how far this member's lease holders have come. */
-  #cover(now: number): ControlOutput[] {
+  /** Reports the log index that this member's lease holders have reached to the head. */
+  #reportCoverage(now: number): ControlOutput[] {
     const view = this.#chain.view;
     if (view === undefined || !this.#isMember) return [];
-    if (this.#chain.isHead) return this.#release(now);
-    const place = this.#ownCover(now);
-    if (!this.#coverage.isToBeTold(place, view.mark, now)) return [];
+    if (this.#chain.isHead) return this.#answerRequestsInForce(now);
+    const place = this.#ownCoverage(now);
+    if (!this.#leaseCoverage.isToBeTold(place, view.mark, now)) return [];
     return [
       {
         kind: "send",
@@ -524,15 +562,15 @@
     ];
   }
 
-  #feedAll(now: number): ControlOutput[] {
+  #sendFeedUpdates(now: number): ControlOutput[] {
     const outputs: ControlOutput[] = [];
     if (!this.#isMember) return outputs;
     for (const card of this.#sessions.followers(now))
-      outputs.push(...sendAll(card.address, newsFor(card, this.#feed)));
+      outputs.push(...sendEach(card.address, feedUpdateFor(card, this.#feed)));
     return outputs;
   }
 
-  /** Whether this machine grants leases: a member whose feed tells all that may have been told as in force before. */
+  /** Whether this machine may grant leases: it is a member, and its feed has all that may have been acknowledged as in force. */
   get #mayGrant(): boolean {
     return this.#isMember && this.#grantFloor.isReached(this.#feed.place, this.#chain.place);
   }
@@ -540,7 +578,7 @@
   #heartbeat(message: SessionMessage, now: number): ControlOutput[] {
     const { messages, isLeaseGranted } = this.#nodeHeartbeats.answer(message, {
       self: this.#self.identity,
-      life: this.#life,
+      life: this.#incarnation,
       view: this.#chain.view,
       isMember: this.#isMember,
       mayGrant: this.#mayGrant,
@@ -551,38 +589,38 @@
       wall: this.#usage.wallAt(now),
       now,
     });
-    const outputs = sendAll(message.card.address, messages);
-    return isLeaseGranted ? [...outputs, ...this.#cover(now)] : outputs;
+    const outputs = sendEach(message.card.address, messages);
+    return isLeaseGranted ? [...outputs, ...this.#reportCoverage(now)] : outputs;
   }
 
-  /** Time passes. */
+  /** Does all time-driven work. `now` is monotonic and `wall` wall-clock time, both in ms. */
   beat(now: number, wall: number): ControlOutput[] {
-    this.#wall = wall;
+    this.#lastWallTime = wall;
     this.#usage.beat(now, wall);
-    this.#putOffPlanning(now);
+    this.#postponePlanning(now);
     const stuck = this.#chain.stuck(now)?.identity;
     return [
-      ...this.#vote(this.#agreement.beat(now, this.#chain.copiedMark, stuck), now),
-      ...this.#perform(this.#chain.beat(now), now),
-      ...this.#cover(now),
-      ...this.#callSilentNodes(now),
+      ...this.#performViewCommands(this.#agreement.beat(now, this.#chain.copiedMark, stuck), now),
+      ...this.#performChainCommands(this.#chain.beat(now), now),
+      ...this.#reportCoverage(now),
+      ...this.#sendAddressesToSilentNodes(now),
       ...this.#sendPeerHeartbeats(now),
       ...this.#plan(now),
-      ...this.#forget(now),
+      ...this.#forgetExpired(now),
       ...this.#expireRequests(now),
       ...this.#forwardAgain(now),
     ];
   }
 
-  /** Who slept or hears nobody lets others be heard first: their silence may be its own. */
-  #putOffPlanning(now: number): void {
+  /** Postpones planning after a pause of this process or while it receives no heartbeats: other machines may only seem to be gone. */
+  #postponePlanning(now: number): void {
     if (
-      now - this.#beatAt > constants.sleptLeast ||
+      now - this.#lastTickAt > constants.sleptLeast ||
       !this.#agreement.isNear(now) ||
       !this.#sessions.hearsAny(now)
     )
-      this.#planFrom = Math.max(this.#planFrom, now + constants.sessionEvery * 2);
-    this.#beatAt = now;
+      this.#planNotBefore = Math.max(this.#planNotBefore, now + constants.sessionEvery * 2);
+    this.#lastTickAt = now;
   }
 
   #sendPeerHeartbeats(now: number): ControlOutput[] {
@@ -598,9 +636,9 @@
     }));
   }
 
-  #forget(now: number): ControlOutput[] {
-    if (now - this.#forgetAt <= constants.sessionLasts) return [];
-    this.#forgetAt = now;
+  #forgetExpired(now: number): ControlOutput[] {
+    if (now - this.#lastForgetAt <= constants.sessionLasts) return [];
+    this.#lastForgetAt = now;
     this.#sessions.forget(now);
     this.#usage.ledger.forget(now);
     this.#nodeHeartbeats.forget(now);
@@ -614,10 +652,10 @@
     return outputs;
   }
 
-  /** A node whose settings name only control machines that are gone is told where the group stands now (§13.8.4). */
-  #callSilentNodes(now: number): ControlOutput[] {
-    if (now - this.#calledSilentAt < constants.callSilentEvery) return [];
-    this.#calledSilentAt = now;
+  /** Sends the control addresses to silent nodes: their settings may name only machines that are gone (docs/design.md §13.8.4). */
+  #sendAddressesToSilentNodes(now: number): ControlOutput[] {
+    if (now - this.#lastAddressesSentAt < constants.callSilentEvery) return [];
+    this.#lastAddressesSentAt = now;
     if (!this.#isMember) return [];
     const addresses = [this.#self.address, ...this.#agreement.addresses()];
     return this.#silentNodes
@@ -625,20 +663,22 @@
       .map((to) => ({ kind: "send", to, message: { kind: "controls", addresses } }));
   }
 
-  /** Enters what the head finds to be changed. */
+  /** Submits the changes that the head finds necessary. */
   #plan(now: number): ControlOutput[] {
-    if (now - this.#planAt < constants.planEvery) return [];
-    this.#planAt = now;
+    if (now - this.#lastPlanAt < constants.planEvery) return [];
+    this.#lastPlanAt = now;
     if (!this.#mayPlan(now)) return [];
     const commands = this.#planner.plan({
-      ...this.#surroundingsSource(now),
+      ...this.#planningContextSource(now),
       chainTime: this.#chain.time(now),
-      isInForce: (place) => place <= this.#coveredByAll(now) && this.#fleetTook(place),
+      isInForce: (place) => place <= this.#coveredByAll(now) && this.#isAcceptedByFleet(place),
     });
     this.#sharesInStep.planned(commands, this.#feed);
     const outputs: ControlOutput[] = [];
     for (const command of commands)
-      outputs.push(...this.#perform(this.#chain.inquire(`plan/${now}`, command, now), now));
+      outputs.push(
+        ...this.#performChainCommands(this.#chain.inquire(`plan/${now}`, command, now), now),
+      );
     return outputs;
   }
 
@@ -647,27 +687,27 @@
       this.#isWritable &&
       this.#chain.serves &&
       this.#chain.confirmed === this.#chain.place &&
-      now >= this.#planFrom
+      now >= this.#planNotBefore
     );
   }
 
-  #surroundingsSource(now: number): SurroundingsSource {
-    return { feed: this.#feed, sessions: this.#sessions, now, wall: this.#wall };
+  #planningContextSource(now: number): PlanningContextSource {
+    return { feed: this.#feed, sessions: this.#sessions, now, wall: this.#lastWallTime };
   }
 
-  /** What holds for a way, a model or a lot, and why. */
+  /** Explains the current limits of a way (a route), a model or a lot (a batch job). */
   explain(asked: Asked, now: number): Explained {
-    return explanations.explain(asked, surroundingsOf(this.#surroundingsSource(now)));
+    return explanations.explain(asked, planningContextOf(this.#planningContextSource(now)));
   }
 
-  /** What a season would select if it were entered. */
+  /** Shows what a season (a scheduling period) would select if it were added to the configuration. */
   preview(season: unknown, now: number): Explained {
-    return explanations.preview(season, surroundingsOf(this.#surroundingsSource(now)));
+    return explanations.preview(season, planningContextOf(this.#planningContextSource(now)));
   }
 
-  /** For operators. */
+  /** Status report for operators. */
   status(now: number): Record<string, unknown> {
-    const { standings, reports } = surroundingsOf(this.#surroundingsSource(now));
+    const { standings, reports } = planningContextOf(this.#planningContextSource(now));
     return controlStatus({
       self: this.#self,
       view: this.#chain.view,
@@ -688,6 +728,6 @@
   return { kind: "result", ticket, result: outcome };
 }
 
-function sendAll(to: string, messages: readonly ControlMessage[]): ControlOutput[] {
+function sendEach(to: string, messages: readonly ControlMessage[]): ControlOutput[] {
   return messages.map((message) => ({ kind: "send", to, message }));
 }
--- a/packages/control/src/fleet-plan.ts
+++ b/packages/control/src/fleet-plan.ts
@@ -1,57 +1,62 @@
 import { constants, type NodeCard } from "@chutewick/parts";
 import type { FleetRecord } from "./machine.js";
 
-/** What the head knows: the record in force, and its place in the feed. */
-export interface KnownFleet {
+/** The fleet record that the head knows, and the log index of its feed. */
+export interface CurrentFleet {
   readonly record: FleetRecord | undefined;
   readonly place: number;
 }
 
 /**
- * Next fleet record, planned by the head of control (docs/design.md §7.4). Who is there is added and who was away for long, or stops
- * as planned, is left out; once a majority of the old and of the new has taken that, the old one is dropped.
+ * Computes the next fleet record for the head of the control group (docs/design.md §7.4). Nodes with a live session are added; nodes
+ * that were absent for a long time or are stopping are removed. The previous addresses are dropped as soon as a majority of both the
+ * previous and the new fleet has accepted the change.
  */
 export class FleetPlan {
-  /** The newest record seen here, and the place in the feed at which it was known. */
-  #seen = { mark: 0, place: 0 };
-  /** ms, by address. When a node was heard of that stays. */
-  readonly #seenAt = new Map<string, number>();
+  /** Version of the newest record seen here, and the log index at which it was first seen. */
+  #newest = { mark: 0, place: 0 };
+  /** Monotonic time in ms at which a node that isn't stopping was last seen, by address. */
+  readonly #lastSeenAt = new Map<string, number>();
 
-  /** Undefined where nothing is to be changed, or the record in force is not taken yet. */
+  /** Next fleet record; undefined if nothing changes or the current record has not been accepted yet. */
   next(
-    { record: held, place }: KnownFleet,
+    { record: current, place }: CurrentFleet,
     nodes: readonly NodeCard[],
     isInForce: (place: number) => boolean,
     now: number,
   ): FleetRecord | undefined {
-    if (held !== undefined && held.mark !== this.#seen.mark)
-      this.#seen = { mark: held.mark, place };
-    const wanted = this.#wanted(held, nodes, now);
-    const addresses = held?.addresses ?? [];
-    const isSame = wanted.size === addresses.length && addresses.every(isWithin, wanted);
-    if (isSame && (held?.previous.length ?? 0) === 0) return undefined;
-    if (held !== undefined && !isInForce(this.#seen.place)) return undefined;
+    if (current !== undefined && current.mark !== this.#newest.mark)
+      this.#newest = { mark: current.mark, place };
+    const next = this.#nextAddresses(current, nodes, now);
+    const addresses = current?.addresses ?? [];
+    const isSame = next.size === addresses.length && addresses.every(isIn, next);
+    if (isSame && (current?.previous.length ?? 0) === 0) return undefined;
+    if (current !== undefined && !isInForce(this.#newest.place)) return undefined;
     return {
-      mark: (held?.mark ?? 0) + 1,
-      addresses: [...wanted].sort(),
+      mark: (current?.mark ?? 0) + 1,
+      addresses: [...next].sort(),
       previous: isSame ? [] : addresses,
     };
   }
 
-  #wanted(held: FleetRecord | undefined, nodes: readonly NodeCard[], now: number): Set<string> {
-    const wanted = new Set<string>();
-    for (const { address, leaving } of nodes) if (!leaving) wanted.add(address);
+  #nextAddresses(
+    current: FleetRecord | undefined,
+    nodes: readonly NodeCard[],
+    now: number,
+  ): Set<string> {
+    const next = new Set<string>();
+    for (const { address, leaving } of nodes) if (!leaving) next.add(address);
     for (const { address } of nodes)
-      this.#seenAt.set(address, wanted.has(address) ? now : Number.NEGATIVE_INFINITY);
-    for (const address of held?.addresses ?? []) {
-      const seenAt = this.#seenAt.get(address) ?? now;
-      this.#seenAt.set(address, seenAt);
-      if (now - seenAt < constants.fleetForgets) wanted.add(address);
+      this.#lastSeenAt.set(address, next.has(address) ? now : Number.NEGATIVE_INFINITY);
+    for (const address of current?.addresses ?? []) {
+      const seenAt = this.#lastSeenAt.get(address) ?? now;
+      this.#lastSeenAt.set(address, seenAt);
+      if (now - seenAt < constants.fleetForgets) next.add(address);
     }
-    return wanted;
+    return next;
   }
 }
 
-function isWithin(this: ReadonlySet<string>, address: string): boolean {
+function isIn(this: ReadonlySet<string>, address: string): boolean {
   return this.has(address);
 }
--- a/packages/control/src/head-planner.ts
+++ b/packages/control/src/head-planner.ts
@@ -6,23 +6,26 @@
 import type { ControlCommand, Deregistration, FleetRecord } from "./machine.js";
 import { Pacer, type Surroundings } from "./pace.js";
 import { QueuePlacement } from "./queue-placement.js";
-import { queuesUnder, surroundingsOf } from "./queue-reports.js";
+import { queuesUnder, planningContextOf } from "./queue-reports.js";
 
-/** What the head knows when it plans. */
+/** Input of one planning round of the head. */
 export interface PlanningInput {
   readonly feed: Feed;
   readonly sessions: Sessions;
-  /** ms, of the monotonic clock. */
+  /** Monotonic time in ms. */
   readonly now: number;
-  /** ms, of the wall clock. */
+  /** Wall-clock time in ms. */
   readonly wall: number;
-  /** ms, of the chain: deregistrations are kept by it. */
+  /** Time of the replicated ledger in ms; the retention of deregistrations is measured by it. */
   readonly chainTime: number;
-  /** Whether a place of the feed is in force at all lease holders. */
+  /** Whether all lease holders have the feed up to a log index. */
   isInForce(this: void, place: number): boolean;
 }
 
-/** The head's duty: keep the fleet record, pace queues, place and mend their replicas (docs/design.md §7.4, §8.2, §8.4). */
+/**
+ * Plans the changes that the head of the control group makes: it maintains the fleet record, throttles queues, and places and
+ * repairs their replicas (docs/design.md §7.4, §8.2, §8.4).
+ */
 export class HeadPlanner {
   readonly #policy: Policy;
   readonly #fleetPlan = new FleetPlan();
@@ -33,16 +36,16 @@
     this.#pacer = new Pacer(policy);
   }
 
-  /** Commands to be entered now, in this order. */
+  /** Commands to submit now, in this order. */
   plan(input: PlanningInput): ControlCommand[] {
-    const surroundings = surroundingsOf(input);
+    const context = planningContextOf(input);
     const placement = this.#placementOf(input);
     return [
       ...this.#fleetCommands(input),
       ...forgetCommands(input),
-      ...this.#placeCommands(placement, surroundings, input.feed),
-      ...this.#paceCommands(surroundings),
-      ...reviewCommands(placement, input.feed),
+      ...this.#firstViewCommands(placement, context, input.feed),
+      ...this.#throttleCommands(context),
+      ...nextViewCommands(placement, input.feed),
     ];
   }
 
@@ -51,7 +54,7 @@
     return new QueuePlacement({
       views: queuesUnder<ChainView>(feed, keys.queue),
       live: new Map(storage.map((card) => [card.identity, card])),
-      /** Also under the identity that a machine got with a new disk. */
+      // A drained machine whose disk was replaced is also listed under its new identity.
       toEmpty: new Set(emptying.machines(feed, storage).keys()),
       policy: this.#policy,
     });
@@ -60,16 +63,20 @@
   #fleetCommands({ feed, sessions, isInForce, now }: PlanningInput): ControlCommand[] {
     if (this.#policy.goesOnAlone) return [];
     const nodes = [...sessions.live("access", now), ...sessions.live("storage", now)];
-    const known = { record: feed.read<FleetRecord>(keys.fleet), place: feed.place };
-    const fleet = this.#fleetPlan.next(known, nodes, isInForce, now);
+    const current = { record: feed.read<FleetRecord>(keys.fleet), place: feed.place };
+    const fleet = this.#fleetPlan.next(current, nodes, isInForce, now);
     return fleet === undefined ? [] : [{ kind: "fleet", fleet }];
   }
 
-  #placeCommands(placement: QueuePlacement, { value }: Surroundings, feed: Feed): ControlCommand[] {
-    const wanted = new Set<string>();
-    for (const { queue } of configuration.queues(value, this.#policy)) wanted.add(queue);
+  #firstViewCommands(
+    placement: QueuePlacement,
+    { value }: Surroundings,
+    feed: Feed,
+  ): ControlCommand[] {
+    const configured = new Set<string>();
+    for (const { queue } of configuration.queues(value, this.#policy)) configured.add(queue);
     const commands: ControlCommand[] = [];
-    for (const queue of wanted) {
+    for (const queue of configured) {
       if (feed.read(keys.queue + queue) !== undefined) continue;
       const view = placement.firstView(queue);
       if (view !== undefined) commands.push({ kind: "place", queue, view });
@@ -77,15 +84,15 @@
     return commands;
   }
 
-  #paceCommands(surroundings: Surroundings): ControlCommand[] {
+  #throttleCommands(context: Surroundings): ControlCommand[] {
     const commands: ControlCommand[] = [];
-    for (const [queue, standing] of this.#pacer.plan(surroundings))
+    for (const [queue, standing] of this.#pacer.plan(context))
       commands.push({ kind: "stand", queue, standing });
     return commands;
   }
 }
 
-function reviewCommands(placement: QueuePlacement, feed: Feed): ControlCommand[] {
+function nextViewCommands(placement: QueuePlacement, feed: Feed): ControlCommand[] {
   const commands: ControlCommand[] = [];
   for (const [queue, view] of queuesUnder<ChainView>(feed, keys.queue)) {
     const next = placement.nextView(queue, view);
@@ -94,7 +101,7 @@
   return commands;
 }
 
-/** Records of deregistered runners are forgotten once the oldest was kept for long enough. */
+/** Deletes expired deregistrations once at least one has reached its retention. */
 function forgetCommands({ feed, chainTime }: PlanningInput): ControlCommand[] {
   for (const [, { at }] of feed.under<Deregistration>(keys.goodbye))
     if (at + constants.deregistrationKept <= chainTime) return [{ kind: "forget-goodbyes" }];
--- a/packages/control/src/head-requests.ts
+++ b/packages/control/src/head-requests.ts
@@ -1,57 +1,56 @@
 import { constants } from "@chutewick/parts";
 import type { ControlResult } from "./machine.js";
 
-/** A request entered here as the head. */
+/** A request that this machine submitted to the chain as its head. */
 export interface HeadRequest {
   readonly ticket: string;
-  /** Set where the request came over the wire. */
+  /** Address of the machine that forwarded the request; undefined for a request made on this machine. */
   readonly to: string | undefined;
-  /** ms. */
+  /** Monotonic time in ms at which the request was submitted. */
   readonly since: number;
-  /** Set once the chain has confirmed it; it is answered when it is in force. */
+  /** Set once the chain has committed the request; it is answered when its change is in force. */
   result: { value: ControlResult; place: number } | undefined;
-  /** The place that all lease holders must have before it is answered, once that is known. */
+  /** Log index that all lease holders must reach before the request is answered; undefined while not yet known. */
   inForceBy: number | undefined;
 }
 
-/** Requests that this machine has entered as the head and not answered yet, by their own id. */
+/** Pending requests that this machine has submitted as the head, by an id local to this machine. */
 export class HeadRequests {
-  readonly #open = new Map<string, HeadRequest>();
-  #ticketNumber = 0;
+  readonly #pending = new Map<string, HeadRequest>();
+  #lastId = 0;
 
-  /** Whether a request is under way, which may be sent more than once. */
+  /** Whether the request is already pending; the same request may be sent more than once. */
   has(ticket: string, to: string | undefined): boolean {
-    for (const request of this.#open.values())
+    for (const request of this.#pending.values())
       if (request.ticket === ticket && request.to === to) return true;
     return false;
   }
 
-  /** The id under which the request is entered. */
+  /** Adds a request and returns the id under which it is submitted to the chain. */
   add(ticket: string, to: string | undefined, now: number): string {
-    this.#ticketNumber += 1;
-    const id = `own/${this.#ticketNumber}`;
-    this.#open.set(id, { ticket, to, since: now, result: undefined, inForceBy: undefined });
+    this.#lastId += 1;
+    const id = `own/${this.#lastId}`;
+    this.#pending.set(id, { ticket, to, since: now, result: undefined, inForceBy: undefined });
     return id;
   }
 
   get(id: string): HeadRequest | undefined {
-    return this.#open.get(id);
+    return this.#pending.get(id);
   }
 
-  /** Takes out a request that is answered now. */
   remove(id: string): void {
-    this.#open.delete(id);
+    this.#pending.delete(id);
   }
 
-  /** All under way, in the order in which they were entered. */
+  /** All pending requests, in the order of their submission. */
   entries(): [id: string, request: HeadRequest][] {
-    return [...this.#open];
+    return [...this.#pending];
   }
 
-  /** Ids of those that nobody waits for any more. */
+  /** Ids of the requests that have exceeded their timeout. */
   overdue(now: number): string[] {
     const overdue: string[] = [];
-    for (const [id, { since }] of this.#open)
+    for (const [id, { since }] of this.#pending)
       if (now - since > constants.confirmPatience) overdue.push(id);
     return overdue;
   }
--- a/packages/control/src/lease-coverage.ts
+++ b/packages/control/src/lease-coverage.ts
@@ -1,112 +1,124 @@
 import { constants, type ChainView, type Member, type Sessions } from "@chutewick/parts";
 import type { FleetRecord } from "./machine.js";
 
-/** What a member told the head last. */
-interface ToldHead {
+/** Last coverage report that this machine sent to the head. */
+interface CoverageReport {
+  /** Log index that all lease holders of this machine had reached. */
   readonly place: number;
-  /** Mark of the view. */
+  /** Epoch of the view in which it was sent. */
   readonly mark: number;
-  /** ms. */
+  /** Monotonic time in ms. */
   readonly at: number;
 }
 
-/** Places of the feed that all holders of leases have: a change is in force from then on (docs/design.md §7). */
+/** Tracks the log index of the feed that all lease holders have reached; a change up to it is in force (docs/design.md §7). */
 export class LeaseCoverage {
-  /** Place that all lease holders of a member have, by its identity, as told in the view in force. */
-  readonly #coveredBy = new Map<string, number>();
-  /** ms. Before, leases may count that were granted by a machine of which no member knows. */
-  #knownFrom: number;
-  #toldHead: ToldHead = { place: 0, mark: 0, at: Number.NEGATIVE_INFINITY };
+  /** Log index that all lease holders of a member have reached, by the member's identity, as reported in the current view. */
+  readonly #coverageByMember = new Map<string, number>();
+  /** Monotonic time in ms until which leases may be valid that no current member knows of. */
+  #unknownLeasesUntil: number;
+  #lastReport: CoverageReport = { place: 0, mark: 0, at: Number.NEGATIVE_INFINITY };
 
   constructor(now: number) {
-    this.#knownFrom = now + constants.leaseLasts;
+    this.#unknownLeasesUntil = now + constants.leaseLasts;
   }
 
-  /** A new view: what members told in the one before does not count, and neither do leases whose granters all left. */
-  viewDecided(knowsGrants: boolean, now: number): void {
-    if (!knowsGrants) this.#knownFrom = now + constants.leaseLasts;
-    this.#coveredBy.clear();
+  /**
+   * Starts a new view: reports of the previous view no longer count.
+   * @param knowsLeases whether the members of the new view know every lease that may still be valid
+   */
+  viewDecided(knowsLeases: boolean, now: number): void {
+    if (!knowsLeases) this.#unknownLeasesUntil = now + constants.leaseLasts;
+    this.#coverageByMember.clear();
   }
 
-  /** Takes a member's word of how far its lease holders have come. */
+  /** Records a member's report of the log index that its lease holders have reached. */
   told(identity: string, place: number): void {
-    this.#coveredBy.set(identity, Math.max(place, this.#coveredBy.get(identity) ?? 0));
+    this.#coverageByMember.set(
+      identity,
+      Math.max(place, this.#coverageByMember.get(identity) ?? 0),
+    );
   }
 
   /**
-   * Whether the head should be told of a place that all holders of leases granted here have: at once where it is further on than
-   * what was told in that view, else from time to time, since the head may not have been in the view yet. Counts as told then.
+   * Whether to report the log index that all holders of leases granted here have reached, and records the report as sent. Progress
+   * is reported at once; an unchanged index is repeated periodically, since the head may not have adopted the view at the time of
+   * the first report.
    */
   isToBeTold(place: number, mark: number, now: number): boolean {
-    const told = this.#toldHead;
-    const isKnown = mark === told.mark && place <= told.place;
-    if (place === 0 || (isKnown && now - told.at < constants.coverageRepeatedEvery)) return false;
-    this.#toldHead = { place, mark, at: now };
+    const last = this.#lastReport;
+    const isKnown = mark === last.mark && place <= last.place;
+    if (place === 0 || (isKnown && now - last.at < constants.coverageRepeatedEvery)) return false;
+    this.#lastReport = { place, mark, at: now };
     return true;
   }
 
-  /** The place that all holders of leases granted here have. */
+  /** Log index that all holders of leases granted by this machine have reached. */
   own(sessions: Sessions, place: number, now: number): number {
-    return now < this.#knownFrom ? 0 : sessions.covered(place, now);
+    return now < this.#unknownLeasesUntil ? 0 : sessions.covered(place, now);
   }
 
-  /** Place that the lease holders of each other member have, as far as it was told in this view; for the log. */
+  /** Log index reported by each other member in this view, for logging. */
   toldBy(others: readonly Member[]): Record<string, number> {
-    const told: Record<string, number> = {};
-    for (const { identity } of others) told[identity] = this.#coveredBy.get(identity) ?? 0;
-    return told;
+    const reported: Record<string, number> = {};
+    for (const { identity } of others)
+      reported[identity] = this.#coverageByMember.get(identity) ?? 0;
+    return reported;
   }
 
-  /** The place that all holders of leases have, of this machine's and of the other members'. */
+  /** Log index that the lease holders of this machine and of all other members have reached. */
   ofAll(others: readonly Member[], own: number): number {
     let covered = own;
     for (const { identity } of others)
-      covered = Math.min(covered, this.#coveredBy.get(identity) ?? 0);
+      covered = Math.min(covered, this.#coverageByMember.get(identity) ?? 0);
     return covered;
   }
 }
 
 /**
- * Whether those who stay know of every lease that still counts (§7.2): no member left, or all had worked in the view before for
- * longer than a lease lasts, and every majority of it has one that stays.
- * @param settledBefore ms. Since when all members of the view before had told that they work in it
+ * Whether the remaining members know every lease that may still be valid (docs/design.md §7.2). That is so if no member left, or if
+ * all members had worked in the previous view for longer than a lease lasts and every majority of it includes a remaining member.
+ * @param settledBefore monotonic time in ms since which all members of the previous view had reported that they work in it
  */
-export function knowsGrants(
-  before: ChainView | undefined,
+export function knowsAllLeases(
+  previous: ChainView | undefined,
   next: ChainView,
   settledBefore: number | undefined,
   now: number,
 ): boolean {
   if (
-    before === undefined ||
-    next.mark !== before.mark + 1 ||
-    before.members.length < constants.copiesLeast ||
+    previous === undefined ||
+    next.mark !== previous.mark + 1 ||
+    previous.members.length < constants.copiesLeast ||
     next.members.length < constants.copiesLeast
   )
     return false;
-  const staying = before.members.filter((member) => isWithin(next.members, member)).length;
-  if (staying === before.members.length) return true;
+  const remaining = previous.members.filter((member) => isIn(next.members, member)).length;
+  if (remaining === previous.members.length) return true;
   return (
     settledBefore !== undefined &&
     now - settledBefore > constants.leaseLasts + constants.sleptLeast &&
-    staying >= before.members.length / 2
+    remaining >= previous.members.length / 2
   );
 }
 
-/** Whether a majority of the fleet in force, and of the one before while it changes, has taken a place (§7.4). */
-export function isTakenByFleet(
+/**
+ * Whether a majority of the fleet has accepted the feed up to a log index; during a change of the fleet, a majority of the previous
+ * fleet must have accepted it, too (docs/design.md §7.4).
+ */
+export function isAcceptedByFleet(
   fleet: FleetRecord | undefined,
   place: number,
   sessions: Sessions,
 ): boolean {
   return (
     fleet === undefined ||
-    (isTakenByMajority(fleet.addresses, place, sessions) &&
-      isTakenByMajority(fleet.previous, place, sessions))
+    (isAcceptedByMajority(fleet.addresses, place, sessions) &&
+      isAcceptedByMajority(fleet.previous, place, sessions))
   );
 }
 
-function isTakenByMajority(
+function isAcceptedByMajority(
   addresses: readonly string[],
   place: number,
   sessions: Sessions,
@@ -115,6 +127,6 @@
   return addresses.length === 0 || count > addresses.length / 2;
 }
 
-function isWithin(members: readonly Member[], { identity }: Member): boolean {
+function isIn(members: readonly Member[], { identity }: Member): boolean {
   return members.some((member) => member.identity === identity);
 }
--- a/packages/control/src/node-heartbeats.ts
+++ b/packages/control/src/node-heartbeats.ts
@@ -14,28 +14,29 @@
 import type { ControlZones } from "./control-zones.js";
 import { LaggingNodes } from "./lagging-nodes.js";
 
-/** What a control machine answers heartbeats by. */
+/** State of a control machine that is needed to answer heartbeats. */
 export interface HeartbeatContext {
   /** Identity of this control machine. */
   readonly self: string;
-  /** Of this process. */
+  /** Incarnation of this process. */
   readonly life: string;
   readonly view: ChainView | undefined;
-  /** Whether this machine is a member of the view: others grant no leases and know no news. */
+  /** Whether this machine is a member of the view; only members grant leases and send feed updates. */
   readonly isMember: boolean;
-  /** Whether its feed has come so far that it may grant leases. */
+  /** Whether the feed of this machine has advanced far enough to grant leases. */
   readonly mayGrant: boolean;
   /** Addresses of the control machines. */
   readonly controls: readonly string[];
   readonly zones: ControlZones;
   readonly feed: Feed;
   readonly sessions: Sessions;
-  /** ms, by the wall clock of this machine. */
+  /** Wall-clock time of this machine in ms. */
   readonly wall: number;
+  /** Monotonic time in ms. */
   readonly now: number;
 }
 
-/** Answer to a heartbeat. */
+/** Messages that answer a heartbeat. */
 export interface HeartbeatAnswer {
   readonly messages: readonly (FeedMessage | LeaseMessage)[];
   readonly isLeaseGranted: boolean;
@@ -43,38 +44,38 @@
 
 const unanswered: HeartbeatAnswer = { messages: [], isLeaseGranted: false };
 
-/** Heartbeats of nodes: each renews the session, and the lease of a node that keeps up (docs/design.md §4, §7). */
+/** Answers heartbeats of nodes: each renews the session, and the lease if the node keeps up with the feed (docs/design.md §4, §7). */
 export class NodeHeartbeats {
   readonly #laggingNodes = new LaggingNodes();
 
-  /** Takes a heartbeat into the sessions. */
+  /** Updates the session of the node and returns the answer. */
   answer(message: SessionMessage, context: HeartbeatContext): HeartbeatAnswer {
     const { view, isMember, mayGrant, feed, now } = context;
     const { card } = message;
     if (view === undefined || !isMember) return withoutLease(message, context, []);
     if (!mayGrant || !card.free || this.#laggingNodes.isLagging(card, feed.place, now))
-      return withoutLease(message, context, newsFor(card, feed));
+      return withoutLease(message, context, feedUpdateFor(card, feed));
     return withLease(message, context, view);
   }
 
-  /** Forgets nodes that are gone. */
+  /** Discards the state of nodes that are gone. */
   forget(now: number): void {
     this.#laggingNodes.forget(now);
   }
 }
 
-/** The node learns the view and the control machines only. */
+/** Answers without a lease: the node gets the view, the control addresses and feed updates only. */
 function withoutLease(
   { card, askedAt, back }: SessionMessage,
   context: HeartbeatContext,
-  news: readonly FeedMessage[],
+  updates: readonly FeedMessage[],
 ): HeartbeatAnswer {
   const { sessions, life, view, now } = context;
   const isNewest = sessions.heard(card, now, undefined, 0, lateness(back, life, now), askedAt);
   if (view === undefined || !isNewest) return unanswered;
-  const askedAtNever = Number.NEGATIVE_INFINITY;
-  const terms = { view, askedAt: askedAtNever, answers: askedAt, place: 0, roll: emptyRegistry };
-  return { messages: [...news, leaseMessage(terms, context)], isLeaseGranted: false };
+  const neverAsked = Number.NEGATIVE_INFINITY;
+  const terms = { view, askedAt: neverAsked, answers: askedAt, place: 0, roll: emptyRegistry };
+  return { messages: [...updates, leaseMessage(terms, context)], isLeaseGranted: false };
 }
 
 function withLease(
@@ -84,7 +85,7 @@
 ): HeartbeatAnswer {
   const { sessions, feed, life, now } = context;
   const leaseUntil = now + constants.leaseLasts;
-  /** A lease of which no session is kept here would hold no change up. */
+  // Grant no lease without a session: changes would not wait for the node.
   if (!sessions.heard(card, now, leaseUntil, 0, lateness(back, life, now), askedAt))
     return unanswered;
   const roll = sendsRegistry(card, rolled, view, context)
@@ -92,7 +93,7 @@
     : emptyRegistry;
   const terms = { view, askedAt, answers: askedAt, place: feed.place, roll };
   const lease = leaseMessage(terms, context);
-  return { messages: [...newsFor(card, feed), lease], isLeaseGranted: true };
+  return { messages: [...feedUpdateFor(card, feed), lease], isLeaseGranted: true };
 }
 
 function leaseMessage(
@@ -102,13 +103,16 @@
   return { kind: "lease", identity: self, ...terms, controls, stamp: { life, at: now }, wall };
 }
 
-/** What a node still misses of the feed. */
-export function newsFor(card: NodeCard, feed: Feed): FeedMessage[] {
+/** Feed updates that a node has not received yet. */
+export function feedUpdateFor(card: NodeCard, feed: Feed): FeedMessage[] {
   const message = feed.since(card.place);
   return message === undefined ? [] : [message];
 }
 
-/** One member sends a node the registry; the others only where it got none lately (§4.3, §13.8.7). */
+/**
+ * Whether this machine sends the registry to a node. One member is chosen for each node; the others send it only if the node has not
+ * received it recently (docs/design.md §4.3, §13.8.7).
+ */
 function sendsRegistry(
   card: NodeCard,
   rolled: number | undefined,
@@ -119,13 +123,13 @@
   return registrySender(card, members, zones).identity === self;
 }
 
-/** A member of the node's own zone, where there is one: the registry is most of what control sends. */
+/** Member that sends the registry to a node: one in the node's zone if possible, since the registry dominates control traffic. */
 function registrySender(
   { identity, zone }: NodeCard,
   members: readonly Member[],
   zones: ControlZones,
 ): Member {
-  const near = members.filter(({ address }) => zones.at(address) === zone);
-  const senders = near.length > 0 ? near : members;
+  const inZone = members.filter(({ address }) => zones.at(address) === zone);
+  const senders = inZone.length > 0 ? inZone : members;
   return senders[duty.spread(identity) % senders.length]!;
 }
--- a/packages/control/src/order-log.ts
+++ b/packages/control/src/order-log.ts
@@ -2,88 +2,92 @@
 import { constants, type Ledger } from "@chutewick/parts";
 import { keys } from "./keys.js";
 
-/** An order that was taken: its version, the snapshot of its idempotency key, and when (ms of the ledger; none in earlier releases). */
-export type TakenOrder = readonly [mark: number, digest: string, at?: number];
+/**
+ * An accepted order: the version it produced, the digest of its idempotency key, and the ledger time in ms at which it was accepted
+ * (missing in records written by earlier releases).
+ */
+export type AcceptedOrder = readonly [version: number, digest: string, at?: number];
 
-/** Orders taken lately, oldest first. */
+/** Recently accepted orders, oldest first. */
 export interface TakenRecord {
-  readonly orders: readonly TakenOrder[];
+  readonly orders: readonly AcceptedOrder[];
 }
 
-/** What earlier releases of an adapter kept in the origin of a configuration: versions and keys of the last orders. */
+/** Versions and idempotency keys of the last orders, as earlier adapter releases stored them in the origin of a configuration. */
 interface EarlierOrigin {
-  readonly taken?: readonly (readonly [mark: number, key: string])[];
+  readonly taken?: readonly (readonly [version: number, key: string])[];
 }
 
 /**
- * The replicated memory of orders by idempotency key. It is read and written by the command that takes the order, so an
- * order has one outcome however often, and to whichever machine, it is sent.
+ * Replicated log that deduplicates operators' orders by idempotency key. The command that accepts an order also reads and writes
+ * this log, so an order has one outcome no matter how often and to which machine it is sent.
  *
- * An order is remembered for `orderRemembered`, longer than any caller repeats a sending, and at least as one of the last
- * `ordersKept`; `ordersKeptMost` bounds the record.
+ * An order is retained for `orderRemembered`, which is longer than any caller retries. The last `ordersKept` orders are retained
+ * regardless of their age; `ordersKeptMost` bounds the record.
  */
 export class OrderLog {
   readonly #ledger: Ledger;
-  readonly #orders: readonly TakenOrder[];
+  readonly #orders: readonly AcceptedOrder[];
 
-  /** The origin of the configuration in force, from which keys of earlier releases are read. */
+  /** @param origin origin of the current configuration; it may hold idempotency keys written by earlier releases */
   constructor(ledger: Ledger, origin: string | undefined) {
     this.#ledger = ledger;
-    this.#orders = merged(
+    this.#orders = mergeOrders(
       ledger.read<TakenRecord>(keys.taken)?.orders ?? [],
       earlierOrders(origin),
     );
   }
 
-  /** The version under which the order with this key was taken. */
+  /** Version produced by the accepted order with this key; undefined if there is none. */
   find(key: string | undefined): number | undefined {
     if (key === undefined) return undefined;
-    const snapshot = snapshotOf(key);
-    for (const [mark, taken] of this.#orders) if (taken === snapshot) return mark;
+    const digest = digestOf(key);
+    for (const [version, accepted] of this.#orders) if (accepted === digest) return version;
     return undefined;
   }
 
-  add(key: string | undefined, mark: number, time: number): void {
+  add(key: string | undefined, version: number, time: number): void {
     if (key === undefined) return;
-    const kept: TakenOrder[] = [];
-    const excess = this.#orders.length + 1;
+    const retained: AcceptedOrder[] = [];
+    const count = this.#orders.length + 1;
     for (const [index, order] of this.#orders.entries())
-      if (isKept(order, excess - index, time)) kept.push(order);
-    kept.push([mark, snapshotOf(key), time]);
-    this.#ledger.put(keys.taken, { orders: kept } satisfies TakenRecord);
+      if (isRetained(order, count - index, time)) retained.push(order);
+    retained.push([version, digestOf(key), time]);
+    this.#ledger.put(keys.taken, { orders: retained } satisfies TakenRecord);
   }
 }
 
-/** Whether an order stays remembered; `rank` is 1 for the newest. */
-function isKept([, , at]: TakenOrder, rank: number, time: number): boolean {
+/** Whether an order stays in the log; `rank` is 1 for the newest. */
+function isRetained([, , at]: AcceptedOrder, rank: number, time: number): boolean {
   if (rank <= constants.ordersKept) return true;
   return (
     rank <= constants.ordersKeptMost && at !== undefined && time - at <= constants.orderRemembered
   );
 }
 
-function snapshotOf(key: string): string {
+function digestOf(key: string): string {
   return createHash("sha256").update(key).digest("base64");
 }
 
-function merged(
-  orders: readonly TakenOrder[],
-  earlier: readonly TakenOrder[],
-): readonly TakenOrder[] {
-  const snapshots = new Set<string>();
-  for (const [, snapshot] of orders) snapshots.add(snapshot);
-  const missing: TakenOrder[] = [];
-  for (const order of earlier) if (!snapshots.has(order[1])) missing.push(order);
+function mergeOrders(
+  orders: readonly AcceptedOrder[],
+  earlier: readonly AcceptedOrder[],
+): readonly AcceptedOrder[] {
+  const digests = new Set<string>();
+  for (const [, digest] of orders) digests.add(digest);
+  const missing: AcceptedOrder[] = [];
+  for (const order of earlier) if (!digests.has(order[1])) missing.push(order);
   return missing.length === 0 ? orders : [...missing, ...orders];
 }
 
-function earlierOrders(origin: string | undefined): TakenOrder[] {
-  const orders: TakenOrder[] = [];
-  for (const [mark, key] of originOf(origin).taken ?? []) orders.push([mark, snapshotOf(key)]);
+function earlierOrders(origin: string | undefined): AcceptedOrder[] {
+  const orders: AcceptedOrder[] = [];
+  for (const [version, key] of parseOrigin(origin).taken ?? [])
+    orders.push([version, digestOf(key)]);
   return orders;
 }
 
-function originOf(origin: string | undefined): EarlierOrigin {
+function parseOrigin(origin: string | undefined): EarlierOrigin {
   if (origin === undefined || !origin.startsWith("{")) return {};
   try {
     const parsed = JSON.parse(origin) as EarlierOrigin;
--- a/packages/control/src/peer-heartbeats.ts
+++ b/packages/control/src/peer-heartbeats.ts
@@ -1,35 +1,35 @@
 import { constants, giveBack, type RunnerRegistry, type Stamp } from "@chutewick/parts";
 import type { RegistryMessage } from "./control-messages.js";
 
-/** A stamp of another control machine, and when it arrived here. */
-interface HeardStamp {
+/** Timestamp received from another control machine. */
+interface ReceivedStamp {
   readonly stamp: Stamp;
-  /** ms. */
+  /** Monotonic time in ms at which it was received. */
   readonly at: number;
 }
 
-/** Heartbeats between control machines: they give back the peer's newest stamp and carry the registry (docs/design.md §7.5). */
+/** Heartbeats between control machines; each echoes the peer's newest timestamp and may carry the registry (docs/design.md §7.5). */
 export class PeerHeartbeats {
-  readonly #life: string;
+  readonly #incarnation: string;
   readonly #zone: string | undefined;
-  /** The newest stamp of each peer, by its address. */
-  readonly #stamps = new Map<string, HeardStamp>();
-  /** ms. */
+  /** Newest timestamp of each peer, by the peer's address. */
+  readonly #stamps = new Map<string, ReceivedStamp>();
+  /** Monotonic time in ms at which the last heartbeats were sent. */
   #sentAt = 0;
-  /** ms. When a heartbeat carried the registry last. */
+  /** Monotonic time in ms at which heartbeats last carried the registry. */
   #registrySentAt = Number.NEGATIVE_INFINITY;
 
-  constructor(life: string, zone: string | undefined) {
-    this.#life = life;
+  constructor(incarnation: string, zone: string | undefined) {
+    this.#incarnation = incarnation;
     this.#zone = zone;
   }
 
-  /** Takes a peer's stamp, to be given back; releases that know none send none. */
+  /** Records a peer's timestamp so that the next heartbeat echoes it; it is undefined from releases that send none. */
   heard(from: string, stamp: Stamp | undefined, now: number): void {
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
   }
 
-  /** Whether heartbeats are due; if so, they count as sent now. */
+  /** Whether heartbeats are due; if so, records them as sent now. */
   begin(now: number): boolean {
     if (now - this.#sentAt < constants.greetEvery) return false;
     this.#sentAt = now;
@@ -37,22 +37,22 @@
   }
 
   /**
-   * Whether the heartbeats that are sent now carry the registry, which counts as sent then. Its size and what it costs to read
-   * grow with the fleet, so in large fleets not each of them does; what is news of a runner is told at once beside it.
+   * Whether the heartbeats sent now carry the registry; if so, records it as sent. The size of the registry and the cost of reading
+   * it grow with the fleet, so large fleets send it less often. Changes of a runner's state are broadcast separately at once.
    */
   beginRegistry(nodes: number, now: number): boolean {
     const stretched = (constants.greetEvery * nodes) / constants.sessionNodes;
-    const every = Math.min(stretched, constants.peerRegistryEveryMost);
-    if (now - this.#registrySentAt < every) return false;
+    const interval = Math.min(stretched, constants.peerRegistryEveryMost);
+    if (now - this.#registrySentAt < interval) return false;
     this.#registrySentAt = now;
     return true;
   }
 
-  /** Heartbeat to a peer; wall in ms, by the clock of this machine. */
+  /** Creates the heartbeat to a peer; `wall` is the wall-clock time of this machine in ms. */
   to(address: string, roll: RunnerRegistry, wall: number, now: number): RegistryMessage {
     const back = giveBack(this.#stamps.get(address), now);
     const zone = this.#zone === undefined ? {} : { zone: this.#zone };
-    const stamp = { life: this.#life, at: now };
+    const stamp = { life: this.#incarnation, at: now };
     return { kind: "roll", roll, ...zone, stamp, back, decidesDuties: true, wall };
   }
 }
--- a/packages/control/src/queue-reports.ts
+++ b/packages/control/src/queue-reports.ts
@@ -4,22 +4,27 @@
 import type { QueueStanding } from "./machine.js";
 import type { ShareReport, Surroundings } from "./pace.js";
 
-/** Sources of what the pace of queues goes by. */
-export interface SurroundingsSource {
+/** Sources of the planning context. */
+export interface PlanningContextSource {
   readonly feed: Feed;
   readonly sessions: Sessions;
-  /** ms, of the monotonic clock. */
+  /** Monotonic time in ms. */
   readonly now: number;
-  /** ms, of the wall clock. */
+  /** Wall-clock time in ms. */
   readonly wall: number;
 }
 
-/** What the pace of queues, and explanations of it, go by: records in force, reports and sessions. */
-export function surroundingsOf({ feed, sessions, now, wall }: SurroundingsSource): Surroundings {
-  const marked = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
+/** Collects the records in force, reports and sessions by which queues are throttled and their throttling is explained. */
+export function planningContextOf({
+  feed,
+  sessions,
+  now,
+  wall,
+}: PlanningContextSource): Surroundings {
+  const current = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
   const standings = queuesUnder<QueueStanding>(feed, keys.standing);
   return {
-    value: marked.value,
+    value: current.value,
     now,
     wall,
     standings,
@@ -29,7 +34,7 @@
   };
 }
 
-/** Records of queues, by queue. */
+/** Records whose keys have a prefix followed by the name of a queue, by queue. */
 export function queuesUnder<Value>(feed: Feed, prefix: string): Map<string, Value> {
   const records = new Map<string, Value>();
   for (const [key, value] of feed.under<Value>(prefix))
@@ -37,7 +42,7 @@
   return records;
 }
 
-/** Newest report of each queue's owner on its share of waiting work (docs/design.md §8.4); reports of others do not count. */
+/** Newest report of each queue's owner on its share of waiting work (docs/design.md §8.4); reports of other members are ignored. */
 function ownerReports(
   feed: Feed,
   storage: readonly NodeCard[],
@@ -48,18 +53,18 @@
     for (const [queue, shareMark, held, need, classes] of telling.shares ?? []) {
       const owner = feed.read<ChainView>(keys.queue + queue)?.members[0];
       if (owner?.identity !== identity) continue;
-      /** Earlier releases report no classes: all belongs to the season in force. */
-      const told = classes ?? [[standings.get(queue)?.season ?? "", held, need] as const];
-      reports.set(queue, { shareMark, classes: byClass(told) });
+      // Earlier releases report no classes: all waiting work belongs to the season in force.
+      const reported = classes ?? [[standings.get(queue)?.season ?? "", held, need] as const];
+      reports.set(queue, { shareMark, classes: byClass(reported) });
     }
   }
   return reports;
 }
 
 function byClass(
-  told: readonly (readonly [season: string, held: number, need: number])[],
+  classReports: readonly (readonly [season: string, held: number, need: number])[],
 ): Map<string, { held: number; need: number }> {
   const classes = new Map<string, { held: number; need: number }>();
-  for (const [season, held, need] of told) classes.set(season, { held, need });
+  for (const [season, held, need] of classReports) classes.set(season, { held, need });
   return classes;
 }
--- a/packages/control/src/quorum-contact.ts
+++ b/packages/control/src/quorum-contact.ts
@@ -1,22 +1,22 @@
 import { constants, majority, votersOf, type Back, type ChainView } from "@chutewick/parts";
 
 /**
- * Contact of a control machine with the others, measured by round trips of heartbeats on its own monotonic clock: a peer
- * counts from the moment at which the heartbeat was sent that it gave back. Neither a one-way cut nor messages that waited
- * while this process was frozen can pass for contact (docs/control-safety.md).
+ * Tracks whether a control machine can reach a majority of the group, by heartbeat round trips on its own monotonic clock. A peer
+ * counts as reached as of the time at which the heartbeat that it echoed was sent. So neither a network failure in one direction
+ * nor messages that were queued while this process was suspended are mistaken for contact (docs/control-safety.md).
  */
 export class QuorumContact {
   readonly #address: string;
-  readonly #life: string;
-  /** ms, by address of the peer. When the newest heartbeat that it gave back was sent from here. */
+  readonly #incarnation: string;
+  /** Monotonic time in ms at which the newest heartbeat that a peer echoed was sent, by the peer's address. */
   readonly #sentAt = new Map<string, number>();
 
-  constructor(address: string, life: string) {
+  constructor(address: string, incarnation: string) {
     this.#address = address;
-    this.#life = life;
+    this.#incarnation = incarnation;
   }
 
-  /** A heartbeat of a peer; `back` is the newest one of ours that it had got, undefined from releases that give none back. */
+  /** Records a heartbeat of a peer; `back` echoes our newest heartbeat and is undefined from releases that echo none. */
   heard(address: string, back: Back | null | undefined, now: number): void {
     const sentAt = this.#sentAtOf(back, now);
     if (sentAt === undefined) return;
@@ -25,11 +25,11 @@
 
   #sentAtOf(back: Back | null | undefined, now: number): number | undefined {
     if (back === undefined) return now;
-    if (back === null || back.life !== this.#life) return undefined;
+    if (back === null || back.life !== this.#incarnation) return undefined;
     return back.at;
   }
 
-  /** Whether a majority of those who agree on views was reached, and answered, within `contactLasts`. */
+  /** Whether a majority of the voters had a successful round trip within `contactLasts`. */
   hasQuorum(view: ChainView | undefined, now: number): boolean {
     if (view === undefined) return false;
     let reached = 0;
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -47,7 +47,7 @@
         from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
         to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
       },
-      { file: control, from: "held.inForceBy <= covered", to: "true" },
+      { file: control, from: "request.inForceBy <= covered", to: "true" },
     ],
   },
   {
@@ -58,7 +58,7 @@
       {
         file: control,
         from: 'case "send":\n                case "write":\n                    outputs.push(command);',
-        to: 'case "send":\n                case "write":\n                    outputs.push(command); if (command.kind === "write") outputs.push(...this.#perform(this.#chain.written(command.ticket, now), now));',
+        to: 'case "send":\n                case "write":\n                    outputs.push(command); if (command.kind === "write") outputs.push(...this.#performChainCommands(this.#chain.written(command.ticket, now), now));',
       },
     ],
   },
@@ -74,7 +74,7 @@
       },
       {
         file: control,
-        from: "return this.#contact.hasQuorum(this.#agreement.view, now);",
+        from: "return this.#quorumContact.hasQuorum(this.#agreement.view, now);",
         to: "return true;",
       },
     ],
@@ -120,7 +120,7 @@
     start: "formed",
     guard: "a change is told when every lease has it",
     invariant: "a confirmed change is in force",
-    cuts: [{ file: control, from: "held.inForceBy <= covered", to: "true" }],
+    cuts: [{ file: control, from: "request.inForceBy <= covered", to: "true" }],
   },
   {
     start: "severed",
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -152,7 +152,7 @@
       },
       {
         file: control,
-        from: "if (held.inForceBy <= covered && this.#fleetTook(held.inForceBy))",
+        from: "if (request.inForceBy <= covered && this.#isAcceptedByFleet(request.inForceBy))",
         to: "",
       },
     ],
