--- a/packages/control/src/control-origin.ts
+++ b/packages/control/src/control-origin.ts
@@ -11,22 +11,24 @@
 import { ControlMachine } from "./machine.js";
 import { published } from "./published.js";
 
-/** What a control machine starts from. */
+/** Initial state and settings of a control machine. */
 export interface ControlOrigin {
   readonly member: Member;
-  /** Where it stands; undefined where nobody told. */
+  /** Zone of the machine; undefined if it isn't configured. */
   readonly zone?: string;
   readonly seeds: readonly string[];
-  /** Differs with each start, so a result meant for an earlier life is not taken for one of this. */
+  /** Incarnation: differs with each start, so that a result for an earlier process is not mistaken for one of this process. */
   readonly life: string;
+  /** Persisted votes. */
   readonly votes?: VoteState;
+  /** Persisted state of the chain. */
   readonly holding?: ChainHolding;
   readonly policy?: Policy;
-  /** True only at the very first start of the whole system. */
+  /** True only when the whole system starts for the first time. */
   readonly founding?: boolean;
 }
 
-/** The agreement on views, as the votes on disk have it. */
+/** Creates the agreement on views from the votes on disk. */
 export function agreementFrom(origin: ControlOrigin, policy: Policy, now: number): Agreement {
   return new Agreement(
     origin.member,
@@ -39,27 +41,28 @@
   );
 }
 
-/** The chain of control records, as the disk has it. */
+/** Creates the chain of control records from its state on disk. */
 export function chainFrom(origin: ControlOrigin, policy: Policy, now: number): Chain {
   const machine = new ControlMachine();
   return new Chain("control", origin.member, machine, now, origin.holding, policy.copiesLeast);
 }
 
-/** The records of duties, as far as all on the disk of a member was confirmed. */
+/** Creates the duty records; a member restores them from its disk if all entries there are committed. */
 export function dutyRecordsFrom({ holding }: ControlOrigin, isMember: boolean): DutyRecords {
   const records = new DutyRecords();
-  if (isMember && holding !== undefined && isConfirmed(holding)) records.restore(holding.records);
+  if (isMember && holding !== undefined && isFullyCommitted(holding))
+    records.restore(holding.records);
   return records;
 }
 
-function isConfirmed({ state }: ChainHolding): boolean {
+function isFullyCommitted({ state }: ChainHolding): boolean {
   return state.place === state.confirmed;
 }
 
-/** The feed to nodes: a member goes on from its disk where all on it was confirmed. */
+/** Creates the feed to nodes; a member restores it from its disk if all entries there are committed. */
 export function feedFrom({ holding }: ControlOrigin, isMember: boolean): Feed {
   const feed = new Feed(published);
-  if (isMember && holding !== undefined && isConfirmed(holding))
+  if (isMember && holding !== undefined && isFullyCommitted(holding))
     feed.restore(holding.state.place, holding.records);
   return feed;
 }
--- a/packages/control/src/control-zones.ts
+++ b/packages/control/src/control-zones.ts
@@ -1,24 +1,24 @@
 import type { Member } from "@chutewick/parts";
 
-/** Zones of the control machines, as their heartbeats told (docs/design.md §13.8.7). */
+/** Zones of the control machines, as reported in their heartbeats (docs/design.md §13.8.7). */
 export class ControlZones {
-  readonly #own: string | undefined;
+  readonly #ownZone: string | undefined;
   readonly #ownAddress: string;
   readonly #zones = new Map<string, string>();
 
   constructor({ address }: Member, zone: string | undefined) {
     this.#ownAddress = address;
-    this.#own = zone;
+    this.#ownZone = zone;
   }
 
-  /** Takes the zone that a peer told of itself. */
+  /** Records the zone that a peer reported in its heartbeat. */
   heard(from: string, zone: string | undefined): void {
     if (zone === undefined) this.#zones.delete(from);
     else this.#zones.set(from, zone);
   }
 
-  /** Zone of the machine at an address; undefined where it is not known. */
+  /** Zone of the control machine at an address; undefined if unknown. */
   at(address: string): string | undefined {
-    return address === this.#ownAddress ? this.#own : this.#zones.get(address);
+    return address === this.#ownAddress ? this.#ownZone : this.#zones.get(address);
   }
 }
--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -38,7 +38,7 @@
 import { scalingFactsOf, type ScalingFacts } from "./scaling/scaling-facts.js";
 import { DutyRecords } from "./duties/duty-records.js";
 import type { DutyGround } from "./duties/duty-service.js";
-import { emptying } from "./emptying.js";
+import { drain } from "./emptying.js";
 import { explanations, type Asked, type Explained } from "./explain.js";
 import { Forwarding, unwritable, type Ended } from "./forwarding.js";
 import { configuration, type MarkedConfiguration } from "./configuration.js";
@@ -53,7 +53,7 @@
 import { PeerHeartbeats } from "./peer-heartbeats.js";
 import { planningContextOf, type PlanningContextSource } from "./queue-reports.js";
 import { QuorumContact } from "./quorum-contact.js";
-import { isDeregistered, takeReport } from "./runner-announcements.js";
+import { isDeregistered, recordReport } from "./runner-announcements.js";
 import { SharesInStep } from "./shares-in-step.js";
 import { SilentNodes } from "./silent-nodes.js";
 import { ControlUsage } from "./usage/control-usage.js";
@@ -360,10 +360,10 @@
    */
   #withStorageMachines(command: ControlCommand, now: number): ControlCommand | undefined {
     if (command.kind !== "empty" && command.kind !== "emptying") return command;
-    const sight = emptying.sightOf(this.#sessions.live("storage", now), this.#policy);
+    const sight = drain.observe(this.#sessions.live("storage", now), this.#policy);
     if (command.kind === "emptying") return { ...command, sight };
     if (command.wanted && this.#chain.serves && now < this.#planNotBefore) return undefined;
-    return emptying.resolved(this.#feed, command, sight);
+    return drain.withTarget(this.#feed, command, sight);
   }
 
   /**
@@ -377,7 +377,7 @@
   ): { told: Announced; outputs: ControlOutput[] } {
     if (isDeregistered(card, this.#feed)) return { told: { kind: "SAID_GOODBYE" }, outputs: [] };
     const inContact = this.inContact(now);
-    const message = takeReport({ ...card, sequence, age: 0 }, this.#sessions, inContact, now);
+    const message = recordReport({ ...card, sequence, age: 0 }, this.#sessions, inContact, now);
     const outputs = message === undefined ? [] : this.#toControlsAndAccess(message, now);
     return { told: { kind: inContact ? "TAKEN" : "NO_QUORUM" }, outputs };
   }
--- a/packages/control/src/emptying.ts
+++ b/packages/control/src/emptying.ts
@@ -1,60 +1,63 @@
 import type { ChainView, Ledger, Member, NodeCard } from "@chutewick/parts";
 import { keys } from "./keys.js";
 
-/** Emptying of storage machines before they are taken away (docs/design.md §8.7). */
+/** Drain of storage machines before their removal ("emptying" in messages and records; docs/design.md §8.7). */
 
-/** A machine that is being emptied, kept by the identity of its disk. */
+/** Record of a machine that is being drained, stored under the identity of its disk. */
 export interface EmptyingRecord {
-  /** ms of the ledger. */
+  /** Ledger time in ms at which the drain started. */
   readonly since: number;
+  /** Name of the machine in the deployment. */
   readonly name?: string;
 }
 
 /**
- * What the head of the control group knows of storage machines by their sessions. It goes with a command, so that every
- * replica judges by the same, and what is answered is judged against the replicated records.
+ * Storage machines with a live session, as observed by the head of the control group. The head adds them to a command, so that every
+ * replica decides from the same observation and from its replicated records.
  */
 export interface StorageSight {
-  readonly machines: readonly SeenMachine[];
-  /** machines. Others that must be left to take the queues of one that is emptied. */
+  readonly machines: readonly ObservedMachine[];
+  /** Number of other machines that must remain to take over the queues of a drained machine. */
   readonly othersLeast: number;
-  /** copies. Fewer than `copiesLeast` confirm nothing; `copiesWanted` is what queues are mended to. */
+  /** Number of replicas below which a queue cannot commit. */
   readonly copiesLeast: number;
+  /** Number of replicas to which queues are repaired. */
   readonly copiesWanted: number;
 }
 
 /** A storage machine with a live session. */
-export interface SeenMachine {
+export interface ObservedMachine {
   readonly identity: string;
   readonly name?: string;
-  /** About to stop as planned. */
+  /** Whether a planned stop has begun. */
   readonly leaving: boolean;
 }
 
-/** An order to empty a machine, or to keep it after all. */
-export interface EmptyCommand {
+/** Order to drain a machine, or to cancel its drain. */
+export interface DrainCommand {
   readonly kind: "empty";
-  /** Identity of its disk, or its name in the deployment, which stays though its disk is lost (§13.8). */
+  /** Identity of its disk, or its name in the deployment, which survives the loss of the disk (docs/design.md §13.8). */
   readonly identity: string;
+  /** True to drain the machine, false to cancel the drain. */
   readonly wanted: boolean;
   readonly name?: string;
-  /** Filled in by the head; absent in entries of earlier releases, which were judged before they were entered. */
+  /** Observed machines, set by the head; missing in log entries of earlier releases, which were checked before submission. */
   readonly sight?: StorageSight;
 }
 
-/** A read of how far the emptying of a machine is. */
-export interface EmptyingQuery {
+/** Query for the progress of a drain. */
+export interface DrainQuery {
   readonly kind: "emptying";
   readonly machine: string;
-  /** Filled in by the head. */
+  /** Observed machines, set by the head. */
   readonly sight?: StorageSight;
 }
 
-/** How far the emptying of a machine is; undefined where none was asked for. */
+/** Progress of a drain; undefined if the machine is not being drained. */
 export type EmptyingState = "emptying" | "emptied" | undefined;
 
-/** Why a machine is not emptied, or kept. */
-export interface EmptyingRefusal {
+/** Why an order to drain a machine, or to cancel its drain, was refused. */
+export interface DrainRefusal {
   readonly kind: "REFUSED" | "UNKNOWN_MACHINE" | "TOO_FEW";
   readonly reason: string;
 }
@@ -62,39 +65,39 @@
 /** Reads records by key: a replica's ledger, or the feed that follows it. */
 export type Records = Pick<Ledger, "read" | "under">;
 
-/** What the head knows of the storage machines with a live session. */
-function sightOf(
+/** Observation of the storage machines with a live session, to be added to a command. */
+function observe(
   live: readonly NodeCard[],
   policy: Pick<StorageSight, "othersLeast" | "copiesLeast" | "copiesWanted">,
 ): StorageSight {
-  const machines: SeenMachine[] = [];
+  const machines: ObservedMachine[] = [];
   for (const { identity, name, leaving } of live)
     machines.push({ identity, leaving, ...(name === undefined ? {} : { name }) });
   const { othersLeast, copiesLeast, copiesWanted } = policy;
   return { machines, othersLeast, copiesLeast, copiesWanted };
 }
 
-/** Machines being emptied, also under the identity that they got with a new disk. */
-function emptyingMachines(
+/** Machines being drained, by identity; a machine whose disk was replaced is also listed under its new identity. */
+function drainingMachines(
   records: Records,
-  machines: readonly Pick<SeenMachine, "identity" | "name">[],
+  machines: readonly Pick<ObservedMachine, "identity" | "name">[],
 ): Map<string, EmptyingRecord> {
-  const found = new Map<string, EmptyingRecord>();
+  const result = new Map<string, EmptyingRecord>();
   const byName = new Map<string, EmptyingRecord>();
   for (const [key, record] of records.under<EmptyingRecord>(keys.emptying)) {
-    found.set(key.slice(keys.emptying.length), record);
+    result.set(key.slice(keys.emptying.length), record);
     if (record.name !== undefined) byName.set(record.name, record);
   }
   for (const { identity, name } of machines) {
     const record = name === undefined ? undefined : byName.get(name);
-    if (record !== undefined) found.set(identity, record);
+    if (record !== undefined) result.set(identity, record);
   }
-  return found;
+  return result;
 }
 
-/** The command as it is entered: with what the head knows, and a machine called by its name by the identity of its disk. */
-function resolved(records: Records, command: EmptyCommand, sight: StorageSight): EmptyCommand {
-  for (const [identity, { name }] of emptyingMachines(records, sight.machines))
+/** Completes a command for submission: adds the observed machines, and replaces a machine's name by the identity of its disk. */
+function withTarget(records: Records, command: DrainCommand, sight: StorageSight): DrainCommand {
+  for (const [identity, { name }] of drainingMachines(records, sight.machines))
     if (name === command.identity) return { ...command, identity, name, sight };
   for (const { identity, name } of sight.machines)
     if (name === command.identity) return { ...command, identity, name, sight };
@@ -102,17 +105,17 @@
 }
 
 /**
- * Takes an order to empty or keep a machine. One that stands already is acknowledged again and changes nothing, since it may
- * be the same order, sent again after a lost answer.
+ * Applies an order to drain a machine or to cancel its drain. An order to drain a machine that is already being drained is
+ * acknowledged without effect, since it may be a retry after a lost answer.
  */
-function take(ledger: Ledger, command: EmptyCommand, time: number): EmptyingRefusal | undefined {
+function apply(ledger: Ledger, command: DrainCommand, time: number): DrainRefusal | undefined {
   const { sight, identity, wanted, name } = command;
   if (sight !== undefined) {
-    const isEmptying = emptyingMachines(ledger, sight.machines).has(identity);
-    if (wanted && isEmptying) return undefined;
+    const isDraining = drainingMachines(ledger, sight.machines).has(identity);
+    if (wanted && isDraining) return undefined;
     const refusal = wanted
-      ? refuseEmptying(ledger, command, sight)
-      : refuseKeeping(command, isEmptying);
+      ? refuseDrain(ledger, command, sight)
+      : refuseCancellation(command, isDraining);
     if (refusal !== undefined) return refusal;
   }
   if (wanted)
@@ -124,21 +127,21 @@
   return undefined;
 }
 
-function refuseKeeping(
-  { identity, name = identity }: EmptyCommand,
-  isEmptying: boolean,
-): EmptyingRefusal | undefined {
-  return isEmptying ? undefined : { kind: "REFUSED", reason: `${name}: is not being emptied` };
+function refuseCancellation(
+  { identity, name = identity }: DrainCommand,
+  isDraining: boolean,
+): DrainRefusal | undefined {
+  return isDraining ? undefined : { kind: "REFUSED", reason: `${name}: is not being emptied` };
 }
 
-function refuseEmptying(
+function refuseDrain(
   records: Records,
-  { identity, name = identity }: EmptyCommand,
+  { identity, name = identity }: DrainCommand,
   sight: StorageSight,
-): EmptyingRefusal | undefined {
+): DrainRefusal | undefined {
   if (!isKnown(records, identity, sight))
     return { kind: "UNKNOWN_MACHINE", reason: `${name}: there is no such storage machine` };
-  const others = takers(records, sight);
+  const others = availableMachines(records, sight);
   others.delete(identity);
   const { othersLeast } = sight;
   if (others.size < othersLeast)
@@ -156,31 +159,31 @@
   return false;
 }
 
-/** Machines that may be given queues. */
-function takers(records: Records, { machines }: StorageSight): Set<string> {
-  const emptying = emptyingMachines(records, machines);
-  const found = new Set<string>();
+/** Identities of the machines that may take over queues. */
+function availableMachines(records: Records, { machines }: StorageSight): Set<string> {
+  const drained = drainingMachines(records, machines);
+  const result = new Set<string>();
   for (const { identity, leaving } of machines)
-    if (!leaving && !emptying.has(identity)) found.add(identity);
-  return found;
+    if (!leaving && !drained.has(identity)) result.add(identity);
+  return result;
 }
 
-/** How far the emptying of a machine is, by its name or by the identity of its disk. */
+/** Progress of a machine's drain; the machine is given by its name or by the identity of its disk. */
 function state(records: Records, machine: string, sight: StorageSight): EmptyingState {
-  const mine = new Set<string>();
-  for (const [identity, { name }] of emptyingMachines(records, sight.machines))
-    if (identity === machine || name === machine) mine.add(identity);
-  if (mine.size === 0) return undefined;
-  const others = takers(records, sight);
+  const identities = new Set<string>();
+  for (const [identity, { name }] of drainingMachines(records, sight.machines))
+    if (identity === machine || name === machine) identities.add(identity);
+  if (identities.size === 0) return undefined;
+  const others = availableMachines(records, sight);
   const wanted = Math.max(sight.copiesLeast, Math.min(sight.copiesWanted, others.size));
   for (const [, view] of records.under<ChainView>(keys.queue))
-    if (isLeft(view, mine) || copiesAt(view, others) < wanted) return "emptying";
+    if (isStoredAt(view, identities) || copiesAt(view, others) < wanted) return "emptying";
   return "emptied";
 }
 
-function isLeft({ members, joiner }: ChainView, mine: ReadonlySet<string>): boolean {
-  for (const { identity } of members) if (mine.has(identity)) return true;
-  return joiner !== undefined && mine.has(joiner.identity);
+function isStoredAt({ members, joiner }: ChainView, identities: ReadonlySet<string>): boolean {
+  for (const { identity } of members) if (identities.has(identity)) return true;
+  return joiner !== undefined && identities.has(joiner.identity);
 }
 
 function copiesAt({ members }: ChainView, machines: ReadonlySet<string>): number {
@@ -193,4 +196,4 @@
   return member.identity === this.identity;
 }
 
-export const emptying = { machines: emptyingMachines, resolved, sightOf, state, take };
+export const drain = { machines: drainingMachines, withTarget, observe, state, apply };
--- a/packages/control/src/grant-floor.ts
+++ b/packages/control/src/grant-floor.ts
@@ -1,24 +1,25 @@
 /**
- * From which place of the feed on a control machine may grant leases (docs/design.md §7.2.2). A node counts a lease only if it stands as
- * far in the feed as its granter stood. A machine that has just started, or has just become a member, may hold more on its disk than
- * its feed tells as confirmed; a lease of its would let a node go on that misses what was told as in force before.
+ * Minimum log index of the feed from which a control machine may grant leases (docs/design.md §7.2.2). A node accepts a lease only if
+ * it has the feed up to the index at which the lease was granted. A machine that has just started or become a member may have entries
+ * on disk that its feed doesn't have as committed yet. Granting a lease then would let a node continue without a change that was
+ * already acknowledged as in force.
  */
 export class GrantFloor {
-  /** Each place that this machine can have told as covered is at or below this one. */
-  #place: number;
+  /** Upper bound of the log indexes that this machine can have reported as covered. */
+  #minIndex: number;
 
-  /** @param heldAtStart the last place on this machine's disk */
-  constructor(heldAtStart: number) {
-    this.#place = heldAtStart;
+  /** @param lastIndexAtStart last log index on this machine's disk */
+  constructor(lastIndexAtStart: number) {
+    this.#minIndex = lastIndexAtStart;
   }
 
-  /** This machine became a member of a view, and holds the chain up to a place: all that was confirmed before. */
-  becameMember(chainPlace: number): void {
-    this.#place = chainPlace;
+  /** Called when this machine becomes a member of a view; its chain up to the log index includes all entries committed before. */
+  becameMember(chainIndex: number): void {
+    this.#minIndex = chainIndex;
   }
 
-  /** Entries that were never confirmed may be dropped, so the chain can end before the place that it had. */
-  isReached(feedPlace: number, chainPlace: number): boolean {
-    return feedPlace >= Math.min(this.#place, chainPlace);
+  /** Whether leases may be granted. Uncommitted entries may be dropped, so the chain can end before the floor. */
+  isReached(feedIndex: number, chainIndex: number): boolean {
+    return feedIndex >= Math.min(this.#minIndex, chainIndex);
   }
 }
--- a/packages/control/src/head-planner.ts
+++ b/packages/control/src/head-planner.ts
@@ -1,6 +1,6 @@
 import { constants, type ChainView, type Feed, type Policy, type Sessions } from "@chutewick/parts";
 import { configuration } from "./configuration.js";
-import { emptying } from "./emptying.js";
+import { drain } from "./emptying.js";
 import { FleetPlan } from "./fleet-plan.js";
 import { keys } from "./keys.js";
 import type { ControlCommand, Deregistration, FleetRecord } from "./machine.js";
@@ -55,7 +55,7 @@
       views: queuesUnder<ChainView>(feed, keys.queue),
       live: new Map(storage.map((card) => [card.identity, card])),
       // A drained machine whose disk was replaced is also listed under its new identity.
-      toEmpty: new Set(emptying.machines(feed, storage).keys()),
+      draining: new Set(drain.machines(feed, storage).keys()),
       policy: this.#policy,
     });
   }
--- a/packages/control/src/lagging-nodes.ts
+++ b/packages/control/src/lagging-nodes.ts
@@ -1,21 +1,22 @@
 import { constants, type NodeCard } from "@chutewick/parts";
 
-/** Where and since when a node stands behind the feed. */
+/** Position of a node that lags behind the feed. */
 interface Lag {
-  /** ms. */
+  /** Monotonic time in ms at which the node reached this position or was first seen lagging. */
   readonly at: number;
+  /** Log index that the node has reached. */
   readonly place: number;
 }
 
-/** ms. How long a lag is remembered of a node that is not heard any more. */
-const LAG_REMEMBERED = constants.sessionLasts * 8;
+/** How long the lag of a silent node is retained. */
+const LAG_RETENTION_MS = constants.sessionLasts * 8;
 
-/** Nodes that do not keep up with the feed: one that makes no progress loses its lease rather than hold up a change. */
+/** Detects nodes that do not keep up with the feed; a node without progress loses its lease so that it doesn't block changes. */
 export class LaggingNodes {
-  /** By identity of the node. */
+  /** By the node's identity. */
   readonly #lags = new Map<string, Lag>();
 
-  /** Whether a node has stood behind the feed without progress for longer than `lagLasts`. */
+  /** Whether a node has lagged behind the feed without progress for longer than `lagLasts`. */
   isLagging(card: NodeCard, feedPlace: number, now: number): boolean {
     if (card.place >= feedPlace) {
       this.#lags.delete(card.identity);
@@ -29,9 +30,9 @@
     return now - lag.at > constants.lagLasts;
   }
 
-  /** Forgets nodes that are gone. */
+  /** Discards the state of nodes that are gone. */
   forget(now: number): void {
     for (const [identity, lag] of this.#lags)
-      if (now - lag.at > LAG_REMEMBERED) this.#lags.delete(identity);
+      if (now - lag.at > LAG_RETENTION_MS) this.#lags.delete(identity);
   }
 }
--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -13,7 +13,7 @@
   type ClaimResult,
   type FinishAct,
 } from "./duties/duty-ledger.js";
-import { emptying, type EmptyCommand, type EmptyingQuery, type EmptyingState } from "./emptying.js";
+import { drain, type DrainCommand, type DrainQuery, type EmptyingState } from "./emptying.js";
 import { keys } from "./keys.js";
 import { OrderLog } from "./order-log.js";
 import { configurationIn, putConfiguration } from "./tenants-record.js";
@@ -28,8 +28,8 @@
   | { kind: "review"; queue: string; view: ChainView }
   | { kind: "stand"; queue: string; standing: QueueStanding }
   | { kind: "fleet"; fleet: FleetRecord }
-  | EmptyCommand
-  | EmptyingQuery
+  | DrainCommand
+  | DrainQuery
   | ClaimAct
   | FinishAct
   | { kind: "read" };
@@ -224,7 +224,7 @@
         return { kind: "DONE" };
       }
       case "empty":
-        return emptying.take(ledger, command, time) ?? { kind: "DONE" };
+        return drain.apply(ledger, command, time) ?? { kind: "DONE" };
       case "claim-act":
         return dutyLedger.claim(ledger, command, time);
       case "finish-act":
@@ -236,7 +236,7 @@
           state:
             command.sight === undefined
               ? undefined
-              : emptying.state(ledger, command.machine, command.sight),
+              : drain.state(ledger, command.machine, command.sight),
         };
     }
   }
--- a/packages/control/src/queue-placement.ts
+++ b/packages/control/src/queue-placement.ts
@@ -7,182 +7,187 @@
   type NodeCard,
   type Policy,
 } from "@chutewick/parts";
-import { sharingZone, spreadOverZones, zonesOf } from "./zones.js";
+import { membersSharingZone, spreadOverZones, zonesOf } from "./zones.js";
 
-/** Least difference in queues between two machines for which a replica is moved. */
-const IMBALANCE_LEAST = 2;
+/** Minimum difference between the queue counts of two machines at which a replica is moved. */
+const MIN_IMBALANCE = 2;
 
-/** What a round of planning goes by. */
+/** Input of a planning round. */
 export interface PlacementInput {
-  /** Views in force, by queue. */
+  /** Current views, by queue. */
   readonly views: ReadonlyMap<string, ChainView>;
-  /** Storage machines with a session, by identity. */
+  /** Storage machines with a live session, by identity. */
   readonly live: ReadonlyMap<string, NodeCard>;
-  /** Identities of machines that are being emptied. */
-  readonly toEmpty: ReadonlySet<string>;
+  /** Identities of the machines that are being drained. */
+  readonly draining: ReadonlySet<string>;
   readonly policy: Policy;
 }
 
 /**
- * One round of planning where the replicas of queues are kept (docs/design.md §8.2): new queues are placed, lost and slow
- * replicas are taken out, missing ones are copied, and load is balanced by one move at a time. Pure: it changes nothing but
- * its own note of whether this round has moved a replica.
+ * One planning round for the placement of queue replicas (docs/design.md §8.2): new queues are placed, lost and slow replicas are
+ * removed, missing ones are copied, and load is balanced by one move at a time. The only state that it changes is whether this round
+ * has moved a replica.
  */
 export class QueuePlacement {
   readonly #views: ReadonlyMap<string, ChainView>;
   readonly #live: ReadonlyMap<string, NodeCard>;
-  readonly #toEmpty: ReadonlySet<string>;
+  readonly #draining: ReadonlySet<string>;
   readonly #policy: Policy;
-  /** Queues kept or being copied to, by identity of the machine. */
+  /** Number of queues that a machine stores or is copying, by identity. */
   readonly #queueCounts: ReadonlyMap<string, number>;
   #hasMoved = false;
 
-  constructor({ views, live, toEmpty, policy }: PlacementInput) {
+  constructor({ views, live, draining, policy }: PlacementInput) {
     this.#views = views;
     this.#live = live;
-    this.#toEmpty = toEmpty;
+    this.#draining = draining;
     this.#policy = policy;
     this.#queueCounts = queuesByMachine(views.values());
   }
 
-  /** First view of a queue; undefined while too few machines can keep it. */
+  /** First view of a queue; undefined while too few machines can store it. */
   firstView(queue: string): ChainView | undefined {
-    const able = this.#ableToKeep();
-    if (able.length < this.#policy.copiesLeast) return undefined;
-    const spread = spreadOverZones(duty.rank(queue, able), this.#live);
+    const eligible = this.#eligibleMachines();
+    if (eligible.length < this.#policy.copiesLeast) return undefined;
+    const spread = spreadOverZones(duty.rank(queue, eligible), this.#live);
     const members: Member[] = [];
     for (const identity of spread.slice(0, this.#policy.copiesWanted))
       members.push(this.#memberOf(identity));
     return { mark: 1, members };
   }
 
-  /** Next view of a queue; undefined where the one in force stays. */
+  /** Next view of a queue; undefined if the current one stays. */
   nextView(queue: string, view: ChainView): ChainView | undefined {
-    /** Where the members are too few to confirm, those that confirmed last go on as soon as they are back (§1.5). */
+    // If the members are too few to commit, the replicas that last committed resume as soon as they are back (docs/design.md §1.5).
     const present = presentOf(view, this.#live);
-    const staying = present.filter(({ identity }) => !this.#live.get(identity)!.leaving);
-    /** One that stops as planned leaves at once, as long as enough stay. */
-    if (staying.length < present.length && staying.length >= this.#policy.copiesLeast)
-      return this.#withMembers(view, staying);
+    const remaining = present.filter(({ identity }) => !this.#live.get(identity)!.leaving);
+    // A machine that is stopping leaves at once if enough members remain.
+    if (remaining.length < present.length && remaining.length >= this.#policy.copiesLeast)
+      return this.#withMembers(view, remaining);
     if (!isSameMembers(present, view.members))
       return present.length >= this.#policy.copiesLeast
         ? this.#withMembers(view, present)
         : this.#copiedFromHolders(view, present);
-    const unblocked = this.#withoutStuck(queue, view);
-    if (unblocked !== undefined) return unblocked;
-    if (view.joiner !== undefined) return this.#joined(queue, view, view.joiner);
+    const withoutBlocking = this.#withoutBlockingReplica(queue, view);
+    if (withoutBlocking !== undefined) return withoutBlocking;
+    if (view.joiner !== undefined) return this.#withLearnerAdmitted(queue, view, view.joiner);
     if (view.members.length > this.#policy.copiesWanted) return this.#withoutSurplus(view);
-    return this.#withJoiner(queue, view);
+    return this.#withLearner(queue, view);
   }
 
-  /** Other members; the joiner goes on as long as it is there. */
+  /** Next view with other members; it keeps the learner if that is still live. */
   #withMembers(view: ChainView, members: readonly Member[]): ChainView {
     const { joiner } = view;
-    const keepsJoiner = joiner !== undefined && this.#live.has(joiner.identity);
-    return { mark: view.mark + 1, members, ...(keepsJoiner ? { joiner } : {}) };
+    const keepsLearner = joiner !== undefined && this.#live.has(joiner.identity);
+    return { mark: view.mark + 1, members, ...(keepsLearner ? { joiner } : {}) };
   }
 
   /**
-   * Too few replicas left to confirm: each holds all that was confirmed, serves nothing, and is copied from; who comes back
-   * goes on at once (§1.5, §8.2).
+   * Next view if too few replicas remain to commit. Each of them has all committed entries; they serve no requests but are copied
+   * to a learner. Members that return resume at once (docs/design.md §1.5, §8.2).
    */
   #copiedFromHolders(view: ChainView, present: readonly Member[]): ChainView | undefined {
     const holders = holdersOf(view);
-    const able: string[] = [];
+    const eligible: string[] = [];
     for (const identity of this.#live.keys())
-      if (!this.#toEmpty.has(identity) && !includes(holders, identity)) able.push(identity);
-    if (present.length === 0 || able.length === 0) return undefined;
+      if (!this.#draining.has(identity) && !includes(holders, identity)) eligible.push(identity);
+    if (present.length === 0 || eligible.length === 0) return undefined;
     const joiner =
       view.joiner !== undefined && this.#live.has(view.joiner.identity)
         ? view.joiner
-        : this.#memberOf(able.sort()[0]!);
+        : this.#memberOf(eligible.sort()[0]!);
     return { mark: view.mark + 1, members: present, joiner, holders };
   }
 
-  /** Without the replica that another one reports as holding up the chain; undefined where none is, or too few would stay. */
-  #withoutStuck(queue: string, view: ChainView): ChainView | undefined {
+  /** Next view without a replica that a machine reports as blocking the chain; undefined if there is none or too few would remain. */
+  #withoutBlockingReplica(queue: string, view: ChainView): ChainView | undefined {
     for (const card of this.#live.values()) {
-      for (const [stuckQueue, mark, identity] of card.telling.stuck ?? []) {
-        if (stuckQueue !== queue || mark !== view.mark) continue;
-        if (identity === view.joiner?.identity) return withoutJoiner(view);
+      for (const [stuckQueue, epoch, identity] of card.telling.stuck ?? []) {
+        if (stuckQueue !== queue || epoch !== view.mark) continue;
+        if (identity === view.joiner?.identity) return withoutLearner(view);
         if (view.members.length <= this.#policy.copiesLeast) continue;
-        const members = without(view.members, identity);
+        const members = withoutMember(view.members, identity);
         if (members.length < view.members.length) return this.#withMembers(view, members);
       }
     }
     return undefined;
   }
 
-  /** The joiner becomes a member once it has copied the whole queue in this view, and is dropped where it is gone. */
-  #joined(queue: string, view: ChainView, joiner: Member): ChainView | undefined {
+  /** Makes the learner a member once it has copied the whole queue in this view, or drops it if it is gone. */
+  #withLearnerAdmitted(queue: string, view: ChainView, joiner: Member): ChainView | undefined {
     const card = this.#live.get(joiner.identity);
-    if (card === undefined) return withoutJoiner(view);
-    for (const [copiedQueue, mark] of card.telling.copied ?? [])
-      if (copiedQueue === queue && mark === view.mark)
+    if (card === undefined) return withoutLearner(view);
+    for (const [copiedQueue, epoch] of card.telling.copied ?? [])
+      if (copiedQueue === queue && epoch === view.mark)
         return { mark: view.mark + 1, members: [...view.members, joiner] };
     return undefined;
   }
 
-  /** One replica less: of a machine that is emptied, else of a zone that has two, else of the machine that keeps most. */
+  /** Removes one replica: of a machine being drained, else of a zone with several replicas, else of the machine with the most queues. */
   #withoutSurplus(view: ChainView): ChainView {
-    const sharing = sharingZone(view.members, this.#live);
+    const sharing = membersSharingZone(view.members, this.#live);
     const surplus =
-      this.#emptiedMember(view) ?? this.#mostBurdened(sharing.length > 0 ? sharing : view.members);
-    return { mark: view.mark + 1, members: without(view.members, surplus.identity) };
+      this.#drainedMember(view) ?? this.#mostLoaded(sharing.length > 0 ? sharing : view.members);
+    return { mark: view.mark + 1, members: withoutMember(view.members, surplus.identity) };
   }
 
-  /** A joiner where a replica is missing, or where a move gains a zone or balance. */
-  #withJoiner(queue: string, view: ChainView): ChainView | undefined {
-    const able = this.#ableToKeep().filter((identity) => !includes(view.members, identity));
-    if (able.length === 0) return this.#withoutEmptied(view);
-    const identity = this.#bestOf(duty.rank(queue, able), view);
-    const emptied = this.#emptiedMember(view) === undefined ? 0 : 1;
-    if (view.members.length - emptied >= this.#policy.copiesWanted) {
-      if (!this.#mayMoveTo(identity, view)) return undefined;
+  /** Adds a learner if a replica is missing, or if a move improves the spread over zones or the balance. */
+  #withLearner(queue: string, view: ChainView): ChainView | undefined {
+    const eligible = this.#eligibleMachines().filter(
+      (identity) => !includes(view.members, identity),
+    );
+    if (eligible.length === 0) return this.#withoutDrained(view);
+    const identity = this.#bestTarget(duty.rank(queue, eligible), view);
+    const drainedCount = this.#drainedMember(view) === undefined ? 0 : 1;
+    if (view.members.length - drainedCount >= this.#policy.copiesWanted) {
+      if (!this.#shouldMoveTo(identity, view)) return undefined;
       this.#hasMoved = true;
     }
     return {
       mark: view.mark + 1,
       members: view.members,
-      ...holdersKept(view),
+      ...holdersOfView(view),
       joiner: this.#memberOf(identity),
     };
   }
 
-  /** Nowhere to copy to: one that is emptied leaves as long as enough stay. */
-  #withoutEmptied(view: ChainView): ChainView | undefined {
-    const emptied = this.#emptiedMember(view);
-    if (emptied === undefined || view.members.length <= this.#policy.copiesLeast) return undefined;
-    return { mark: view.mark + 1, members: without(view.members, emptied.identity) };
+  /** Removes a machine being drained without a replacement, if enough members remain. */
+  #withoutDrained(view: ChainView): ChainView | undefined {
+    const drained = this.#drainedMember(view);
+    if (drained === undefined || view.members.length <= this.#policy.copiesLeast) return undefined;
+    return { mark: view.mark + 1, members: withoutMember(view.members, drained.identity) };
   }
 
-  /** The first in rank of those in a zone without a replica, where there are any, that keep fewest queues. */
-  #bestOf(ranked: readonly string[], view: ChainView): string {
+  /** Machine with the fewest queues, in a zone without a replica if possible; the rank decides ties. */
+  #bestTarget(ranked: readonly string[], view: ChainView): string {
     const zones = zonesOf(view.members, this.#live);
     let best = ranked[0]!;
     for (const identity of ranked) {
-      const isNewZone = !zones.has(this.#zoneOf(identity));
-      const isBestNewZone = !zones.has(this.#zoneOf(best));
+      const isInNewZone = !zones.has(this.#zoneOf(identity));
+      const isBestInNewZone = !zones.has(this.#zoneOf(best));
       const isBetter =
-        isNewZone === isBestNewZone ? this.#queuesAt(identity) < this.#queuesAt(best) : isNewZone;
+        isInNewZone === isBestInNewZone
+          ? this.#queueCountOf(identity) < this.#queueCountOf(best)
+          : isInNewZone;
       if (isBetter) best = identity;
     }
     return best;
   }
 
-  /** Whether a replica is moved to a machine though none is missing: one at a time, and while nothing else is copied. */
-  #mayMoveTo(identity: string, view: ChainView): boolean {
+  /** Whether to move a replica to a machine though none is missing: one move at a time, and none during other copies. */
+  #shouldMoveTo(identity: string, view: ChainView): boolean {
     if (this.#hasMoved || this.#isCopying()) return false;
     const zone = this.#zoneOf(identity);
-    const isNewZone = !zonesOf(view.members, this.#live).has(zone);
-    /** Two replicas in one zone while another zone has a place: that comes before balance (§8.2). */
-    if (isNewZone && sharingZone(view.members, this.#live).length > 0) return true;
-    /** A move within a zone takes the place of a machine of that zone; else zones would be doubled and mended in turn. */
-    const rivals = isNewZone
+    const isInNewZone = !zonesOf(view.members, this.#live).has(zone);
+    // Spreading two replicas of one zone to a new zone has priority over balance (docs/design.md §8.2).
+    if (isInNewZone && membersSharingZone(view.members, this.#live).length > 0) return true;
+    // A move to a zone that has a replica must replace one of that zone; otherwise two replicas would share the zone, to be
+    // separated again by the next moves.
+    const candidates = isInNewZone
       ? view.members
       : view.members.filter((member) => this.#zoneOf(member.identity) === zone);
-    const most = this.#queuesAt(this.#mostBurdened(rivals).identity);
-    return most - this.#queuesAt(identity) >= IMBALANCE_LEAST;
+    const most = this.#queueCountOf(this.#mostLoaded(candidates).identity);
+    return most - this.#queueCountOf(identity) >= MIN_IMBALANCE;
   }
 
   #isCopying(): boolean {
@@ -191,27 +196,27 @@
     return false;
   }
 
-  /** The member whose machine keeps most queues; the owner only if it alone does, since moving it costs a pause. */
-  #mostBurdened(members: readonly Member[]): Member {
+  /** Member with the most queues. On a tie a member other than the owner is preferred, since moving the owner costs a pause. */
+  #mostLoaded(members: readonly Member[]): Member {
     let most = members.at(-1)!;
     for (const member of [...members].reverse())
-      if (this.#queuesAt(member.identity) > this.#queuesAt(most.identity)) most = member;
+      if (this.#queueCountOf(member.identity) > this.#queueCountOf(most.identity)) most = member;
     return most;
   }
 
-  #emptiedMember(view: ChainView): Member | undefined {
-    return view.members.find(({ identity }) => this.#toEmpty.has(identity));
+  #drainedMember(view: ChainView): Member | undefined {
+    return view.members.find(({ identity }) => this.#draining.has(identity));
   }
 
-  /** Identities of machines that may take a replica. */
-  #ableToKeep(): string[] {
-    const able: string[] = [];
+  /** Identities of the machines that may take a replica. */
+  #eligibleMachines(): string[] {
+    const eligible: string[] = [];
     for (const { identity, leaving } of this.#live.values())
-      if (!leaving && !this.#toEmpty.has(identity)) able.push(identity);
-    return able;
+      if (!leaving && !this.#draining.has(identity)) eligible.push(identity);
+    return eligible;
   }
 
-  #queuesAt(identity: string): number {
+  #queueCountOf(identity: string): number {
     return this.#queueCounts.get(identity) ?? 0;
   }
 
@@ -224,7 +229,7 @@
   }
 }
 
-/** How many queues each machine keeps or is copied to, by its identity. */
+/** Number of queues that each machine stores or is copying, by identity. */
 export function queuesByMachine(views: Iterable<ChainView>): Map<string, number> {
   const counts = new Map<string, number>();
   for (const { members, joiner } of views) {
@@ -236,15 +241,15 @@
   return counts;
 }
 
-function withoutJoiner(view: ChainView): ChainView {
-  return { mark: view.mark + 1, members: view.members, ...holdersKept(view) };
+function withoutLearner(view: ChainView): ChainView {
+  return { mark: view.mark + 1, members: view.members, ...holdersOfView(view) };
 }
 
-function holdersKept({ holders }: ChainView): Pick<ChainView, "holders"> {
+function holdersOfView({ holders }: ChainView): Pick<ChainView, "holders"> {
   return holders === undefined ? {} : { holders };
 }
 
-function without(members: readonly Member[], identity: string): Member[] {
+function withoutMember(members: readonly Member[], identity: string): Member[] {
   return members.filter((member) => member.identity !== identity);
 }
 
@@ -252,9 +257,9 @@
   return members.some((member) => member.identity === identity);
 }
 
-function isSameMembers(ones: readonly Member[], others: readonly Member[]): boolean {
+function isSameMembers(left: readonly Member[], right: readonly Member[]): boolean {
   return (
-    ones.length === others.length &&
-    ones.every((one, place) => one.identity === others[place]!.identity)
+    left.length === right.length &&
+    left.every((member, index) => member.identity === right[index]!.identity)
   );
 }
--- a/packages/control/src/runner-announcements.ts
+++ b/packages/control/src/runner-announcements.ts
@@ -3,7 +3,7 @@
 import { keys } from "./keys.js";
 import type { Deregistration } from "./machine.js";
 
-/** Whether this life of a runner, or a later one, was deregistered. */
+/** Whether this incarnation of a runner or a later one was deregistered. */
 export function isDeregistered(
   { id, incarnation }: Pick<RunnerCard, "id" | "incarnation">,
   feed: Feed,
@@ -13,17 +13,17 @@
 }
 
 /**
- * Takes a runner's own report into the registry, and gives what is to be told to others at once (docs/design.md §13.8): news,
- * and without contact to a majority each newer report, since nodes may be reading the registry of a machine that never hears
- * of it. The rest goes with the registry.
+ * Stores a runner's own report in the registry, and returns the message to broadcast if the report is urgent (docs/design.md §13.8).
+ * Reports of a changed state are urgent; while no majority is reachable, so is each newer report, since nodes may use the registry
+ * of a machine that doesn't receive it otherwise. All other reports are distributed with the registry.
  */
-export function takeReport(
+export function recordReport(
   report: RunnerCard,
   sessions: Sessions,
-  inContact: boolean,
+  hasQuorum: boolean,
   now: number,
 ): RunnersMessage | undefined {
   const { newer, news } = sessions.announced(report, now);
-  const isUrgent = news || (newer && !inContact);
+  const isUrgent = news || (newer && !hasQuorum);
   return isUrgent ? { kind: "runners", runners: [report] } : undefined;
 }
--- a/packages/control/src/shares-in-step.ts
+++ b/packages/control/src/shares-in-step.ts
@@ -1,30 +1,31 @@
-/** When the shares of waiting work follow from a change of the configuration (docs/design.md §7.1, §8.4). */
+/** Tracks when the shares of waiting work follow a change of the configuration (docs/design.md §7.1, §8.4). */
 import type { Feed } from "@chutewick/parts";
 import { configuration, type MarkedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 import { standingClasses, type ControlCommand, type QueueStanding } from "./machine.js";
 
 /**
- * The head's view of which changes have their shares in the feed. A change that moves shares is in force only with them: a node
- * that knows the change alone would still judge lots by the shares of before.
+ * Tracks for the head which changes already have their shares in the feed. A change that moves shares is in force only together
+ * with the new shares: a node that has only the change would still admit lots (batch jobs) by the previous shares.
  */
 export class SharesInStep {
-  /** The newest place of the feed at which no share was to be moved. */
-  #inStepAt = 0;
+  /** Newest log index of the feed at which planning changed no share. */
+  #lastInStepIndex = 0;
 
-  /** The head has planned at a place of the feed, and these commands are what it found to be entered. */
+  /** Called after each planning round with the commands that the head is about to submit. */
   planned(commands: readonly ControlCommand[], feed: Feed): void {
-    if (!commands.some((command) => movesShares(command, feed))) this.#inStepAt = feed.place;
+    if (!commands.some((command) => changesShares(command, feed)))
+      this.#lastInStepIndex = feed.place;
   }
 
-  /** The place that lease holders must have for a change at an earlier one to be in force; undefined while it is not known. */
+  /** Log index that lease holders must reach for the change at `place` to be in force; undefined while it is not known. */
   inForceBy(place: number, feed: Feed): number | undefined {
     if (!hasSeasons(feed)) return place;
-    return this.#inStepAt >= place ? this.#inStepAt : undefined;
+    return this.#lastInStepIndex >= place ? this.#lastInStepIndex : undefined;
   }
 }
 
-/** Seasons alone divide waiting work by what a change says; what no season selects goes by pace as before. */
+/** Whether any season is configured or recorded: only seasons divide waiting work by a configuration change. */
 function hasSeasons(feed: Feed): boolean {
   const { value } = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
   if (Object.keys(value.seasons).length > 0) return true;
@@ -33,8 +34,8 @@
   return false;
 }
 
-function movesShares(command: ControlCommand, feed: Feed): boolean {
+function changesShares(command: ControlCommand, feed: Feed): boolean {
   if (command.kind !== "stand") return false;
-  const held = feed.read<QueueStanding>(keys.standing + command.queue);
-  return held?.shareMark !== command.standing.shareMark;
+  const current = feed.read<QueueStanding>(keys.standing + command.queue);
+  return current?.shareMark !== command.standing.shareMark;
 }
--- a/packages/control/src/zones.ts
+++ b/packages/control/src/zones.ts
@@ -2,7 +2,7 @@
 
 /** Spread of replicas over zones (docs/design.md §8.2). */
 
-/** Zones in which live members stand. */
+/** Zones of the live members. */
 export function zonesOf(
   members: readonly Member[],
   live: ReadonlyMap<string, NodeCard>,
@@ -15,8 +15,8 @@
   return zones;
 }
 
-/** The live members that stand in a zone with another. */
-export function sharingZone(
+/** Live members that share their zone with another live member. */
+export function membersSharingZone(
   members: readonly Member[],
   live: ReadonlyMap<string, NodeCard>,
 ): Member[] {
@@ -33,7 +33,7 @@
   return sharing;
 }
 
-/** Identities in the same order, but the first of each zone before the second of any. */
+/** Reorders ranked identities so that the first of each zone precede all others; the order is otherwise kept. */
 export function spreadOverZones(
   ranked: readonly string[],
   live: ReadonlyMap<string, NodeCard>,
