--- a/packages/control/src/control-messages.ts
+++ b/packages/control/src/control-messages.ts
@@ -14,7 +14,7 @@
 } from "@chutewick/parts";
 import type { ControlCommand, ControlResult } from "./machine.js";
 
-/** Messages that a control machine takes in and sends, and its other outputs (docs/design.md §2, §4, §7, §8). */
+/** Messages that a control machine receives and sends (docs/design.md §2, §4, §7, §8). */
 export type ControlMessage =
   | ChainMessage
   | ViewMessage
@@ -51,83 +51,87 @@
   "digest-got",
 ]);
 
-/** Whether a message belongs to the agreement on views. */
+/** Whether a message belongs to the agreement protocol for views. */
 export function isViewMessage(message: ControlMessage): message is ViewMessage {
   return viewKinds.has(message.kind);
 }
 
-/** Whether a message belongs to a chain. */
+/** Whether a message belongs to the replication protocol of a chain. */
 export function isChainMessage(message: ControlMessage): message is ChainMessage {
   return chainKinds.has(message.kind);
 }
 
-/** Heartbeat of a node, which asks for a lease. */
+/** Heartbeat of a node, which requests a lease. */
 export interface SessionMessage {
   readonly kind: "session";
   readonly card: NodeCard;
-  /** ms, by the clock of the node. When the heartbeat was sent. */
+  /** Time in ms at which the heartbeat was sent, by the node's monotonic clock. */
   readonly askedAt: number;
+  /** Echo of the newest timestamp that the node received from this control machine. */
   readonly back?: Back | null;
-  /** ms since the node last got the registry from some control machine. */
+  /** Time in ms since the node last received the registry from any control machine. */
   readonly rolled?: number;
 }
 
-/** Answer to a heartbeat: a lease that counts from `askedAt`, or the view only. */
+/** Answer to a node's heartbeat: a lease that counts from `askedAt`, or only the view. */
 export interface LeaseMessage {
   readonly kind: "lease";
-  /** Of the control machine that grants it. */
+  /** Identity of the control machine that answers. */
   readonly identity: string;
   readonly view: ChainView;
-  /** ms, by the clock of the node; minus infinity where no lease is granted. */
+  /** Time in ms from which the lease counts, by the node's monotonic clock; minus infinity if no lease is granted. */
   readonly askedAt: number;
-  /** ms, by the clock of the node. When the heartbeat that it answers was sent; an earlier release does not say. */
+  /** Time in ms at which the answered heartbeat was sent, by the node's monotonic clock; missing from earlier releases. */
   readonly answers?: number;
-  /** Newest place of the feed. */
+  /** Newest log index of the feed. */
   readonly place: number;
+  /** Registry of runners. */
   readonly roll: RunnerRegistry;
   /** Addresses of the control machines. */
   readonly controls: readonly string[];
   readonly stamp?: Stamp;
-  /** ms since the start of 1970, by the wall clock of this control machine; an earlier release tells none (§14.1). */
+  /** Unix time in ms by the wall clock of the control machine; missing from earlier releases (docs/design.md §14.1). */
   readonly wall?: number;
 }
 
 /** Heartbeat between control machines, with the registry as the sender knows it. */
 export interface RegistryMessage {
   readonly kind: "roll";
+  /** Registry of runners. */
   readonly roll: RunnerRegistry;
-  /** Of the sender; an earlier release tells none. */
+  /** Zone of the sender; missing from earlier releases. */
   readonly zone?: string;
   readonly stamp?: Stamp;
+  /** Echo of the newest timestamp that the sender received from this peer. */
   readonly back?: Back | null;
-  /** Whether the sender decides rounds of duties; earlier releases do not. */
+  /** Whether the sender can decide duty rounds; earlier releases cannot. */
   readonly decidesDuties?: boolean;
-  /** ms since the start of 1970, by the wall clock of the sender; an earlier release tells none (§14.1). */
+  /** Unix time in ms by the wall clock of the sender; missing from earlier releases (docs/design.md §14.1). */
   readonly wall?: number;
 }
 
-/** Runners heard of just now, told at once (§13.8). */
+/** Reports of runners that are broadcast at once instead of with the registry (docs/design.md §13.8). */
 export interface RunnersMessage {
   readonly kind: "runners";
   readonly runners: readonly RunnerCard[];
 }
 
-/** Where the control group stands, told to a node that is not heard (§13.8.4). */
+/** Addresses of the control group, sent to a silent node (docs/design.md §13.8.4). */
 export interface ControlAddressesMessage {
   readonly kind: "controls";
   readonly addresses: readonly string[];
 }
 
-/** Tells the head the place that all lease holders of a member have. */
+/** Reports to the head the log index that all lease holders of a member have reached. */
 export interface CoverageMessage {
   readonly kind: "covered";
   readonly identity: string;
-  /** Of the view in which it holds. */
+  /** Epoch of the view to which the report applies. */
   readonly mark: number;
   readonly place: number;
 }
 
-/** A request on its way to the head. */
+/** A request that is forwarded to the head. */
 export interface ForwardedCommandMessage {
   readonly kind: "control-inquiry";
   readonly ticket: string;
@@ -141,49 +145,50 @@
   readonly outcome: ControlOutcome;
 }
 
-/** Requests of a tenant. */
+/** Number of requests of a tenant. */
 export type TenantCount = readonly [tenant: string, count: number];
 
-/** Requests that began to run in one window, by tenant. */
+/** Number of requests that were started in one window, by tenant. */
 export interface WindowUsage {
-  /** True time divided by the length of windows. */
+  /** Number of the window: agreed time divided by the window length. */
   readonly window: number;
   readonly counts: readonly TenantCount[];
 }
 
-/** Counts of one life of an access node; each stands for all up to now, so taking one twice does no harm (§14.2). */
+/** Usage counts of one access node incarnation. Counts are cumulative, so applying one twice is harmless (docs/design.md §14.2). */
 export interface UsageMessage {
   readonly kind: "usage";
-  /** The life of the node that counted. */
+  /** Incarnation of the node that counted. */
   readonly life: string;
-  /** Holds each count that changed after this change of that life, up to and with the other one. */
+  /** Sequence number after which the included changes start. */
   readonly since: number;
+  /** Sequence number of the last included change. */
   readonly upTo: number;
   readonly windows: readonly WindowUsage[];
 }
 
-/** A control machine acknowledges counts. */
+/** Acknowledgement of usage counts by a control machine. */
 export interface UsageTakenMessage {
   readonly kind: "usage-taken";
-  /** Of the control machine: what an earlier one took is gone. */
+  /** Incarnation of the control machine; counts accepted by an earlier incarnation are lost. */
   readonly life: string;
   readonly since: number;
   readonly upTo: number;
 }
 
-/** What became of a request. */
+/** Outcome of a request. */
 export type ControlOutcome =
   | { readonly kind: "confirmed"; readonly value: ControlResult; readonly place: number }
-  /** Surely without effect. */
+  /** The request had no effect. */
   | {
       readonly kind: "not-run";
       readonly reason: string;
-      /** Set where the head's disk takes no writes. */
+      /** Set if the head's disk refuses writes. */
       readonly isUnwritable?: boolean;
     }
   | { readonly kind: "unknown" };
 
-/** What the core asks of its surroundings. */
+/** Outputs of the core, to be carried out by its host. */
 export type ControlOutput =
   | { readonly kind: "send"; readonly to: string; readonly message: ControlMessage }
   | {
@@ -196,9 +201,9 @@
   | { readonly kind: "result"; readonly ticket: string; readonly result: ControlOutcome }
   | { readonly kind: "note"; readonly text: string; readonly facts: Record<string, unknown> };
 
-/** What a runner is told that reported here. */
+/** Answer to a runner's report. */
 export type Announced =
   | { readonly kind: "TAKEN" }
   | { readonly kind: "SAID_GOODBYE" }
-  /** Passed on to whoever is reached, and not acknowledged: no majority of control is. */
+  /** Broadcast to all reachable machines but not acknowledged, since no majority of the control group is reachable. */
   | { readonly kind: "NO_QUORUM" };
--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -40,7 +40,7 @@
 import type { DutyGround } from "./duties/duty-service.js";
 import { drain } from "./emptying.js";
 import { explanations, type Asked, type Explained } from "./explain.js";
-import { Forwarding, unwritable, type Ended } from "./forwarding.js";
+import { Forwarding, unwritableOutcome, type EndedRequest } from "./forwarding.js";
 import { configuration, type MarkedConfiguration } from "./configuration.js";
 import { GrantFloor } from "./grant-floor.js";
 import { HeadPlanner } from "./head-planner.js";
@@ -333,7 +333,7 @@
   ): ControlOutput[] {
     if (this.#requests.has(ticket, to)) return [];
     if (!this.#isWritable && command.kind !== "read")
-      return this.#sendOutcome(ticket, to, unwritable);
+      return this.#sendOutcome(ticket, to, unwritableOutcome);
     const complete = this.#withStorageMachines(command, now);
     if (complete === undefined)
       return this.#sendOutcome(ticket, to, { kind: "not-run", reason: notReadyToPlan });
@@ -724,7 +724,7 @@
   }
 }
 
-function resultOf({ ticket, outcome }: Ended): ControlOutput {
+function resultOf({ ticket, outcome }: EndedRequest): ControlOutput {
   return { kind: "result", ticket, result: outcome };
 }
 
--- a/packages/control/src/forwarding.ts
+++ b/packages/control/src/forwarding.ts
@@ -2,114 +2,118 @@
 import type { ControlOutcome } from "./control-messages.js";
 import { isRepeatable, type ControlCommand } from "./machine.js";
 
-/** A request that arrived at this machine and is answered by the head of the control group, wherever that is. */
-interface Forwarded {
-  /** Of whoever asked here. */
+/** A request that arrived at this machine and is forwarded to the head of the control group. */
+interface ForwardedRequest {
+  /** Ticket of the requester. */
   readonly ticket: string;
   readonly command: ControlCommand;
-  /** ms. */
+  /** Monotonic time in ms at which the request arrived. */
   readonly since: number;
+  /** Monotonic time in ms at which it was last sent to a head. */
   sentAt: number;
   /** Address of the head that it was sent to. */
   to: string | undefined;
-  /** Sendings to a head, and how many of them were not entered for want of a disk. */
-  sendings: number;
-  unwritable: number;
+  /** Number of times that it was sent to a head. */
+  attempts: number;
+  /** Number of times that a head rejected it since its disk refused writes. */
+  diskRejections: number;
 }
 
-/** Why nothing was entered where the head cannot keep it. */
-export const unwritable: ControlOutcome = {
+/** Outcome of a request that the head rejects since its disk refuses writes. */
+export const unwritableOutcome: ControlOutcome = {
   kind: "not-run",
   reason: "the disk of the head of the control group takes no writes",
   isUnwritable: true,
 };
 
-/** A request whose time is over, or that has a clear answer. */
-export interface Ended {
+/** A forwarded request that has timed out or has a definite outcome. */
+export interface EndedRequest {
   readonly ticket: string;
   readonly outcome: ControlOutcome;
 }
 
 /**
- * Requests under way at the head. What is the same twice as once is sent again, also to a newer head, until it has a clear
- * answer or `confirmPatience` is over; anything else is sent once.
+ * Pending requests that were forwarded to the head. An idempotent request is retried, also at a new head, until it has a definite
+ * outcome or `confirmPatience` has passed; any other request is sent once.
  */
 export class Forwarding {
-  /** Sets off the ids of this process life, so that an answer to an earlier one is not taken for one of this. */
-  readonly #life: string;
-  readonly #open = new Map<string, Forwarded>();
-  #number = 0;
+  /** Prefix of request ids; it prevents results for an earlier process from being mistaken for results of this one. */
+  readonly #incarnation: string;
+  readonly #pending = new Map<string, ForwardedRequest>();
+  #lastNumber = 0;
 
-  constructor(life: string) {
-    this.#life = life;
+  constructor(incarnation: string) {
+    this.#incarnation = incarnation;
   }
 
-  /** The id under which the request goes to the head. */
+  /** Adds a request and returns the id under which it is forwarded. */
   add(ticket: string, command: ControlCommand, now: number): string {
-    this.#number += 1;
-    const id = `${this.#life}/${this.#number}`;
-    this.#open.set(id, {
+    this.#lastNumber += 1;
+    const id = `${this.#incarnation}/${this.#lastNumber}`;
+    this.#pending.set(id, {
       ticket,
       command,
       since: now,
       sentAt: now,
       to: undefined,
-      sendings: 0,
-      unwritable: 0,
+      attempts: 0,
+      diskRejections: 0,
     });
     return id;
   }
 
-  /** Notes that it is sent to a head now, and gives what is to be sent; undefined where it was answered meanwhile. */
+  /** Records that the request is sent to a head now, and returns its command; undefined if it has been answered meanwhile. */
   send(id: string, to: string | undefined, now: number): ControlCommand | undefined {
-    const forwarded = this.#open.get(id);
+    const forwarded = this.#pending.get(id);
     if (forwarded === undefined) return undefined;
     forwarded.sentAt = now;
     forwarded.to = to;
-    forwarded.sendings += 1;
+    forwarded.attempts += 1;
     return forwarded.command;
   }
 
   /**
-   * Takes an answer; undefined where the request is unknown here, or will be sent again. Where no sending was entered for want
-   * of a disk, and no other member may take the place of that head, it is over at once.
+   * Handles the head's answer; returns undefined if the request is unknown here or will be retried. A request ends at once if every
+   * attempt was rejected by a disk that refused writes and no other member can replace that head.
    */
-  answered(id: string, outcome: ControlOutcome, canReplaceHead: boolean): Ended | undefined {
-    const forwarded = this.#open.get(id);
+  answered(id: string, outcome: ControlOutcome, canReplaceHead: boolean): EndedRequest | undefined {
+    const forwarded = this.#pending.get(id);
     if (forwarded === undefined) return undefined;
-    if (outcome.kind === "not-run" && outcome.isUnwritable === true) forwarded.unwritable += 1;
-    const isHopeless = wasNeverEntered(forwarded) && !canReplaceHead;
-    const isSentAgain = isRepeatable(forwarded.command) && !isHopeless;
-    if (outcome.kind !== "confirmed" && isSentAgain) return undefined;
-    this.#open.delete(id);
+    if (outcome.kind === "not-run" && outcome.isUnwritable === true) forwarded.diskRejections += 1;
+    const cannotSucceed = wasNeverSubmitted(forwarded) && !canReplaceHead;
+    const isRetried = isRepeatable(forwarded.command) && !cannotSucceed;
+    if (outcome.kind !== "confirmed" && isRetried) return undefined;
+    this.#pending.delete(id);
     return { ticket: forwarded.ticket, outcome };
   }
 
-  /** Takes out those whose time is over. */
-  expire(now: number): Ended[] {
-    const ended: Ended[] = [];
-    for (const [id, forwarded] of this.#open) {
+  /** Removes and returns the requests that have timed out. */
+  expire(now: number): EndedRequest[] {
+    const ended: EndedRequest[] = [];
+    for (const [id, forwarded] of this.#pending) {
       if (now - forwarded.since <= constants.confirmPatience) continue;
-      this.#open.delete(id);
-      const outcome: ControlOutcome = wasNeverEntered(forwarded) ? unwritable : { kind: "unknown" };
+      this.#pending.delete(id);
+      const outcome: ControlOutcome = wasNeverSubmitted(forwarded)
+        ? unwritableOutcome
+        : { kind: "unknown" };
       ended.push({ ticket: forwarded.ticket, outcome });
     }
     return ended;
   }
 
-  /** Ids of those to be sent again: after a while, or since there is another head. */
+  /** Ids of the requests to retry: their retry interval has passed, or there is a new head. */
   due(head: string | undefined, now: number): string[] {
     const due: string[] = [];
-    for (const [id, { command, sentAt, to }] of this.#open) {
+    for (const [id, { command, sentAt, to }] of this.#pending) {
       const isOverdue = now - sentAt > constants.passAgainEvery;
-      const isElsewhere = head !== undefined && head !== to;
-      if (isRepeatable(command) && (isOverdue || isElsewhere)) due.push(id);
+      const isHeadChanged = head !== undefined && head !== to;
+      if (isRepeatable(command) && (isOverdue || isHeadChanged)) due.push(id);
     }
     return due;
   }
 }
 
-/** Whether each sending was answered as not entered for want of a disk. */
-function wasNeverEntered({ sendings, unwritable: refused }: Forwarded): boolean {
-  return refused === sendings;
+/** Whether every attempt was rejected since the head's disk refused writes. */
+function wasNeverSubmitted({ attempts, diskRejections }: ForwardedRequest): boolean {
+  return diskRejections === attempts;
 }
--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -18,7 +18,7 @@
 import { OrderLog } from "./order-log.js";
 import { configurationIn, putConfiguration } from "./tenants-record.js";
 
-/** Control state: configuration, placement of queues, deregistrations, emptying of machines (docs/design.md §9). */
+/** Commands of the control state machine: configuration, queue placement, deregistrations, drains (docs/design.md §9). */
 export type ControlCommand =
   | PutCommand
   | PatchCommand
@@ -34,23 +34,27 @@
   | FinishAct
   | { kind: "read" };
 
-/** A whole configuration on top of a base. */
+/** Replaces the whole configuration. */
 export interface PutCommand {
   readonly kind: "put";
-  /** The version that must be in force; undefined for whichever is. */
+  /** Version that must be in force; undefined to accept any. */
   readonly expected: number | undefined;
-  /** The operator's own number for the new version, above the one in force; the next where there is none. */
+  /** Version number chosen by the operator, above the one in force; the next number if undefined. */
   readonly mark?: number;
   readonly value: unknown;
-  /** The operator's own text of the whole, told back to reads. */
+  /** The configuration as the operator wrote it, returned to reads. */
   readonly origin?: string;
-  /** Idempotency key; where there is none and the operator has a number, the origin stands for it. Named as in earlier releases. */
+  /**
+   * Idempotency key; the field name is that of earlier releases. Without a key, `origin` serves as the key if the operator chose the
+   * version number.
+   */
   readonly word?: string;
 }
 
-/** A change of a configuration, by RFC 7396. */
+/** Changes the configuration by a JSON merge patch (RFC 7396). */
 export interface PatchCommand {
   readonly kind: "patch";
+  /** Version that must be in force; undefined to accept any. */
   readonly expected: number | undefined;
   readonly change: unknown;
   /** Idempotency key. */
@@ -61,52 +65,60 @@
   | { kind: "IN_FORCE"; mark: number; warnings?: readonly string[] }
   | { kind: "CONFLICT"; mark: number }
   | { kind: "REFUSED"; reason: string }
-  /** Why a machine is not going to be emptied. */
+  /** Reasons for refusing a drain. */
   | { kind: "UNKNOWN_MACHINE"; reason: string }
   | { kind: "TOO_FEW"; reason: string }
-  /** Being emptied already; from heads of earlier releases, and an acknowledgement like any other. */
+  /** The machine is already being drained. Only heads of earlier releases return it; it counts as an acknowledgement. */
   | { kind: "UNDER_WAY"; reason: string }
   | { kind: "EMPTYING"; state: EmptyingState }
   | ClaimResult
   | { kind: "DONE" }
   | { kind: "CONFIGURATION"; mark: number; value: Configuration; origin?: string };
 
+/** Record of a runner's deregistration. */
 export interface Deregistration {
   readonly runner: string;
-  /** This life and every earlier one is closed. */
+  /** This and every earlier incarnation of the runner is deregistered. */
   readonly incarnation: number;
+  /** Ledger time in ms. */
   readonly at: number;
 }
 
-/** Addresses whose majority must take each change; while it changes, a majority of both must (§7.4). */
+/**
+ * Nodes of which a majority must accept each change. While the fleet itself changes, a majority of both the current and the previous
+ * addresses must accept it (docs/design.md §7.4).
+ */
 export interface FleetRecord {
+  /** Version of the record. */
   readonly mark: number;
   readonly addresses: readonly string[];
   readonly previous: readonly string[];
 }
 
-/** What holds for a queue: season, pace and share of waiting work (§8.4, §8.5). */
+/** Quota of a queue: season, throttle level, limits and share of waiting work (docs/design.md §8.4, §8.5). */
 export interface QueueStanding {
-  /** Of this record; each change builds on the one before. */
+  /** Version of this record; each change must have the next one. */
   readonly mark: number;
-  /** Of what the queue's owner is to enter: limits and target. */
+  /** Version of the share that the queue's owner has to apply: limits and target. */
   readonly shareMark: number;
   readonly season: string | null;
-  /** The limits as the season or the model has them; absent in what an earlier release wrote. */
+  /** Configured limits of the season or the model; missing in records of earlier releases. */
   readonly base?: Limits;
-  /** The limits in force: the same at the pace that live work leaves. */
+  /** Limits in force: the configured limits reduced to the throttle level. */
   readonly limits: Limits;
-  /** Eighths of the configured refill that live traffic leaves. */
+  /** Throttle level: how many eighths of the configured refill rate live traffic leaves to the queue. */
   readonly pace: number;
-  /** Sums over the classes: items that may wait from now on, and that may still come to wait until the owner has told that it entered the targets. */
+  /** Number of items that may wait, summed over all classes. */
   readonly target: number;
+  /** Number of items that may wait until the owner has reported that it applied the targets, summed over all classes. */
   readonly granted: number;
-  /** By season, in the order in which they are asked; absent in what an earlier release wrote. */
+  /** Shares by season, in the order in which they are matched; missing in records of earlier releases. */
   readonly classes?: readonly StandingClass[];
 }
 
+/** Share of a queue's waiting work that belongs to one season. */
 export interface StandingClass {
-  /** "" for lots that no season selects. */
+  /** Name of the season; "" for lots (batch jobs) that no season selects. */
   readonly season: string;
   readonly select: readonly Selector[];
   readonly runners: readonly Selector[];
@@ -114,6 +126,7 @@
   readonly granted: number;
 }
 
+/** Classes of a queue's quota; a record of an earlier release counts as a single class. */
 export function standingClasses(standing: QueueStanding | undefined): readonly StandingClass[] {
   if (standing === undefined) return [];
   return (
@@ -129,7 +142,8 @@
   );
 }
 
-interface Order {
+/** A put or a patch, reduced to the configuration that it results in. */
+interface ConfigurationOrder {
   readonly expected: number | undefined;
   readonly mark?: number;
   readonly origin?: string;
@@ -137,13 +151,13 @@
   readonly value: unknown;
 }
 
-/** The key by which an order sent again is known. */
-function keyOf(command: PutCommand | PatchCommand): string | undefined {
+/** Idempotency key by which a retry of the command is recognised. */
+function idempotencyKeyOf(command: PutCommand | PatchCommand): string | undefined {
   if (command.word !== undefined || command.kind === "patch") return command.word;
   return command.mark === undefined ? undefined : command.origin;
 }
 
-/** Whether an order may be entered twice and is the same as once. */
+/** Whether a command is idempotent, so that it may be submitted again. */
 export function isRepeatable(command: ControlCommand): boolean {
   switch (command.kind) {
     case "read":
@@ -152,38 +166,44 @@
       return true;
     case "put":
     case "patch":
-      return keyOf(command) !== undefined;
+      return idempotencyKeyOf(command) !== undefined;
     default:
       return false;
   }
 }
 
+/** Replicated state machine that applies committed control commands to the ledger. */
 export class ControlMachine implements Machine {
   rebuild(): void {
-    // Nothing is derived: every command reads its records by key.
+    // There is no derived state: every command reads its records by key.
   }
 
   apply(ledger: Ledger, input: unknown, time: number): ControlResult {
     const command = input as ControlCommand;
-    const held = configurationIn(ledger);
+    const current = configurationIn(ledger);
     switch (command.kind) {
       case "read":
         return {
           kind: "CONFIGURATION",
-          mark: held.mark,
-          value: held.value,
-          ...(held.origin === undefined ? {} : { origin: held.origin }),
+          mark: current.mark,
+          value: current.value,
+          ...(current.origin === undefined ? {} : { origin: current.origin }),
         };
       case "put":
-        return this.#enter(ledger, held, { ...command, key: keyOf(command) }, time);
+        return this.#applyOrder(
+          ledger,
+          current,
+          { ...command, key: idempotencyKeyOf(command) },
+          time,
+        );
       case "patch":
-        return this.#enter(
+        return this.#applyOrder(
           ledger,
-          held,
+          current,
           {
             expected: command.expected,
             key: command.word,
-            value: configuration.patch(held.value, command.change),
+            value: configuration.patch(current.value, command.change),
           },
           time,
         );
@@ -242,36 +262,39 @@
   }
 
   /**
-   * Takes an order, or says why not, in this order: it was taken already; another version than its base is in force; it is
-   * invalid. So of two orders on one base the loser hears of the conflict, and one sent again hears that it was taken. Checked
-   * on the merged whole, so nothing of a refused change takes effect.
+   * Accepts an order or returns why not. The checks run in this order: whether it was accepted before, whether its base version is in
+   * force, and whether it is valid. So the loser of two orders on the same base gets a conflict, and a retry gets its earlier
+   * acknowledgement. The complete configuration is validated, so a refused change has no partial effect.
    */
-  #enter(
+  #applyOrder(
     ledger: Ledger,
-    held: MarkedConfiguration,
-    { expected, mark: own, origin, key, value }: Order,
+    current: MarkedConfiguration,
+    { expected, mark: requestedVersion, origin, key, value }: ConfigurationOrder,
     time: number,
   ): ControlResult {
-    const log = new OrderLog(ledger, held.origin);
-    const taken = log.find(key);
-    if (taken !== undefined) return { kind: "IN_FORCE", mark: taken };
-    if (expected !== undefined && expected !== null && expected !== held.mark)
-      return { kind: "CONFLICT", mark: held.mark };
+    const log = new OrderLog(ledger, current.origin);
+    const acceptedVersion = log.find(key);
+    if (acceptedVersion !== undefined) return { kind: "IN_FORCE", mark: acceptedVersion };
+    if (expected !== undefined && expected !== null && expected !== current.mark)
+      return { kind: "CONFLICT", mark: current.mark };
     const checked = configuration.check(value);
     if (!checked.ok) return { kind: "REFUSED", reason: checked.reason };
-    if (own !== undefined && !(Number.isSafeInteger(own) && own > held.mark))
+    if (
+      requestedVersion !== undefined &&
+      !(Number.isSafeInteger(requestedVersion) && requestedVersion > current.mark)
+    )
       return {
         kind: "REFUSED",
-        reason: `(whole): the mark ${own} must be a whole number above ${held.mark}, which is in force`,
+        reason: `(whole): the mark ${requestedVersion} must be a whole number above ${current.mark}, which is in force`,
       };
-    const mark = own ?? held.mark + 1;
+    const version = requestedVersion ?? current.mark + 1;
     putConfiguration(ledger, {
-      mark,
+      mark: version,
       value: checked.value,
       ...(origin === undefined ? {} : { origin }),
     });
-    log.add(key, mark, time);
+    log.add(key, version, time);
     const warnings = configuration.warnings(checked.value);
-    return { kind: "IN_FORCE", mark, ...(warnings.length === 0 ? {} : { warnings }) };
+    return { kind: "IN_FORCE", mark: version, ...(warnings.length === 0 ? {} : { warnings }) };
   }
 }
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -86,17 +86,17 @@
     cuts: [
       {
         file: machine,
-        from: "if (expected !== undefined && expected !== null && expected !== held.mark)",
+        from: "if (expected !== undefined && expected !== null && expected !== current.mark)",
         to: "if (false)",
       },
-      { file: machine, from: "own > held.mark", to: "true" },
+      { file: machine, from: "requestedVersion > current.mark", to: "true" },
     ],
   },
   {
     start: "formed",
     guard: "an order taken before is known by its digest",
     invariant: "a confirmed order stays acknowledged",
-    cuts: [{ file: machine, from: "if (taken !== undefined)", to: "if (false)" }],
+    cuts: [{ file: machine, from: "if (acceptedVersion !== undefined)", to: "if (false)" }],
   },
   {
     start: "formed",
@@ -105,8 +105,8 @@
     cuts: [
       {
         file: machine,
-        from: 'return { kind: "CONFLICT", mark: held.mark };',
-        to: '{ log.add(key, own, time); return { kind: "CONFLICT", mark: held.mark }; }',
+        from: 'return { kind: "CONFLICT", mark: current.mark };',
+        to: '{ log.add(key, requestedVersion, time); return { kind: "CONFLICT", mark: current.mark }; }',
       },
     ],
   },
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -172,14 +172,14 @@
     cuts: [
       {
         file: machine,
-        from: "if (expected !== undefined && expected !== null && expected !== held.mark)",
+        from: "if (expected !== undefined && expected !== null && expected !== current.mark)",
         to: "if (false)",
       },
     ],
   },
   "an order sent again was taken": {
     section: "§13.8",
-    cuts: [{ file: machine, from: "if (taken !== undefined)", to: "if (false)" }],
+    cuts: [{ file: machine, from: "if (acceptedVersion !== undefined)", to: "if (false)" }],
   },
   "shares are granted when surely given back": {
     section: "§8.4",
