--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -61,6 +61,7 @@
   readonly word?: string;
 }
 
+/** Result of a control command. */
 export type ControlResult =
   | { kind: "IN_FORCE"; mark: number; warnings?: readonly string[] }
   | { kind: "CONFLICT"; mark: number }
