--- a/features/steps/order-records.ts
+++ b/features/steps/order-records.ts
@@ -1,3 +1,4 @@
+/** Steps on orders applied to the replicated records, directly and through the platform adapter's API. */
 import { createHash } from "node:crypto";
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { After, Given, Then, When, type DataTable } from "@cucumber/cucumber";
@@ -18,13 +19,12 @@
 import { log } from "@chutewick/shell";
 import { request } from "undici";
 
-/** Orders on the replicated records alone, and through the platform's interface on them. */
 interface World {
   ledger: Ledger;
   records: ControlMachine;
-  /** Orders taken so far, beside those named. */
+  /** Number of accepted orders, besides those with a key in the scenario. */
   others: number;
-  /** ms of the ledger. */
+  /** Ledger time in ms. */
   time: number;
   front: PlatformControl | undefined;
   inContact: boolean;
@@ -41,51 +41,51 @@
   );
 }
 
-function inForce(world: World): number {
-  const told = world.records.apply(world.ledger, { kind: "read" }, world.time);
-  ok(told.kind === "CONFIGURATION");
-  return told.mark;
+function versionInForce(world: World): number {
+  const result = world.records.apply(world.ledger, { kind: "read" }, world.time);
+  ok(result.kind === "CONFIGURATION");
+  return result.mark;
 }
 
-function firstIsTaken(this: World, key: string): void {
+function acceptFirst(this: World, key: string): void {
   this.time = 1;
   this.others = 0;
   deepEqual(put(this, key, 1, 0), { kind: "IN_FORCE", mark: 1 });
 }
-When("the order with key {string} is taken", firstIsTaken);
+When("the order with key {string} is taken", acceptFirst);
 
-function othersAreTaken(this: World, count: number, seconds: number): void {
+function acceptOthers(this: World, count: number, seconds: number): void {
   this.time ??= 1;
   this.others ??= 0;
   for (let number = 1; number <= count; number += 1) {
     this.time += (seconds * 1_000) / count;
     this.others += 1;
-    const mark = inForce(this);
+    const mark = versionInForce(this);
     deepEqual(put(this, `other ${this.others}`, mark + 1, mark), {
       kind: "IN_FORCE",
       mark: mark + 1,
     });
   }
 }
-When("{int} other orders are taken within {int} s", othersAreTaken);
+When("{int} other orders are taken within {int} s", acceptOthers);
 
-function firstIsKnown(this: World, key: string): void {
+function firstIsAcknowledgedAgain(this: World, key: string): void {
   deepEqual(put(this, key, 1, 0), { kind: "IN_FORCE", mark: 1 });
 }
-Then("the order with key {string} is acknowledged again", firstIsKnown);
+Then("the order with key {string} is acknowledged again", firstIsAcknowledgedAgain);
 
-function recordHolds(this: World, most: number): void {
-  const held = this.ledger.read<TakenRecord>(keys.taken)!.orders.length;
-  ok(held <= most, `${held} orders`);
+function recordIsBounded(this: World, most: number): void {
+  const count = this.ledger.read<TakenRecord>(keys.taken)!.orders.length;
+  ok(count <= most, `${count} orders`);
 }
-Then("the record of orders holds at most {int}", recordHolds);
+Then("the record of orders holds at most {int}", recordIsBounded);
 
-function lastAreKnown(this: World, count: number): void {
+function lastAreAcknowledgedAgain(this: World, count: number): void {
   this.time += 3_600_000;
   for (let number = this.others - count + 1; number <= this.others; number += 1)
     equal(put(this, `other ${number}`, number + 1, number).kind, "IN_FORCE", `other ${number}`);
 }
-Then("the last {int} of them are acknowledged again", lastAreKnown);
+Then("the last {int} of them are acknowledged again", lastAreAcknowledgedAgain);
 
 /** Orders written as "key:version". */
 function ordersIn(text: string): { key: string; mark: number }[] {
@@ -97,7 +97,7 @@
   return orders;
 }
 
-/** As the release before left them: its adapter's list in the origin, and its own pairs without a time. */
+/** Records of the previous release: its adapter kept orders in the origin, and its own entries have no time. */
 function earlierRecords(this: World, text: string): void {
   this.time = 1;
   const taken: [number, string][] = [];
@@ -105,31 +105,31 @@
   const mark = taken.at(-1)![0];
   const origin = JSON.stringify({ document: { revision: mark }, taken });
   const value = { models: {}, ways: {}, seasons: {} };
-  const snapshot = createHash("sha256").update(origin).digest("base64");
+  const digest = createHash("sha256").update(origin).digest("base64");
   this.ledger.put(keys.configuration, { mark, value, origin });
-  this.ledger.put(keys.taken, { orders: [[mark, snapshot]] });
+  this.ledger.put(keys.taken, { orders: [[mark, digest]] });
 }
 When("the records are those of an earlier release that took the orders {string}", earlierRecords);
 
-function areKnown(this: World, text: string): void {
+function ordersAreAcknowledgedAgain(this: World, text: string): void {
   let base = 0;
   for (const { key, mark } of ordersIn(text)) {
     deepEqual(put(this, key, mark, base), { kind: "IN_FORCE", mark });
     base = mark;
   }
 }
-Then("the orders {string} are acknowledged again", areKnown);
+Then("the orders {string} are acknowledged again", ordersAreAcknowledgedAgain);
 
-// The platform's interface
+// The platform adapter's API
 
-/** What the head would add to a command before it is entered. */
-function withSight(world: World, command: ControlCommand): ControlCommand {
+/** Adds the observed machines to a command, as the head does before it submits the command. */
+function withObservedMachines(world: World, command: ControlCommand): ControlCommand {
   return command.kind === "empty" || command.kind === "emptying"
     ? { ...command, sight: world.sight }
     : command;
 }
 
-async function anInterface(this: World): Promise<void> {
+async function openAdapter(this: World): Promise<void> {
   this.ledger = new Ledger();
   this.records = new ControlMachine();
   this.time = 1;
@@ -142,21 +142,21 @@
   function announce(): "TAKEN" | "NO_QUORUM" {
     return self.inContact ? "TAKEN" : "NO_QUORUM";
   }
-  function inquire(command: ControlCommand, told: (outcome: ControlOutcome) => void): void {
-    if (!self.inContact) return told({ kind: "not-run", reason: "no majority" });
-    const value = self.records.apply(self.ledger, withSight(self, command), self.time);
-    told({ kind: "confirmed", value, place: 1 });
+  function inquire(command: ControlCommand, callback: (outcome: ControlOutcome) => void): void {
+    if (!self.inContact) return callback({ kind: "not-run", reason: "no majority" });
+    const value = self.records.apply(self.ledger, withObservedMachines(self, command), self.time);
+    callback({ kind: "confirmed", value, place: 1 });
   }
   const desk: ControlDesk = { isReady, announce, inquire };
   this.front = new PlatformControl({ control: address }, log.open("orders", "test", "fatal"));
   await this.front.open(desk);
 }
-Given("the platform's interface on a control machine's records", anInterface);
+Given("the platform's interface on a control machine's records", openAdapter);
 
-async function closed(this: World): Promise<void> {
+async function closeAdapter(this: World): Promise<void> {
   await this.front?.close();
 }
-After(closed);
+After(closeAdapter);
 
 interface Answer {
   readonly status: number;
@@ -165,15 +165,15 @@
 }
 
 async function call(method: "GET" | "POST", path: string, body = "", base = ""): Promise<Answer> {
-  const told = await request(`http://${address}/chutewick/${path}`, {
+  const response = await request(`http://${address}/chutewick/${path}`, {
     method,
     headers: { "chutewick-base-revision": base, "content-type": "application/json" },
     body: method === "GET" ? undefined : body,
   });
   return {
-    status: told.statusCode,
-    body: (await told.body.json()) as Record<string, unknown>,
-    retryAfter: Number(told.headers["retry-after"] ?? Number.NaN),
+    status: response.statusCode,
+    body: (await response.body.json()) as Record<string, unknown>,
+    retryAfter: Number(response.headers["retry-after"] ?? Number.NaN),
   };
 }
 
@@ -205,24 +205,24 @@
       verb === "modify"
         ? modificationOf(Number(revision), text!)
         : documentOf(Number(revision), text!);
-    const told = await call("POST", `configuration/${verb}`, body, base);
-    equal(told.status, Number(answer), `${verb} ${text} on ${base}`);
+    const response = await call("POST", `configuration/${verb}`, body, base);
+    equal(response.status, Number(answer), `${verb} ${text} on ${base}`);
   }
 }
 Then("orders are answered:", areAnswered);
 
 async function readHas(this: World, revision: number): Promise<void> {
-  const told = await call("GET", "configuration/read");
-  deepEqual([told.status, told.body["revision"]], [200, revision]);
+  const response = await call("GET", "configuration/read");
+  deepEqual([response.status, response.body["revision"]], [200, revision]);
 }
 Then("the document read has revision {int}", readHas);
 
-function noMajority(this: World): void {
+function loseMajority(this: World): void {
   this.inContact = false;
 }
-When("the machine reaches no majority", noMajority);
+When("the machine reaches no majority", loseMajority);
 
-async function allUnclear(this: World): Promise<void> {
+async function allUnavailable(this: World): Promise<void> {
   const report = JSON.stringify({ service: "printer", address: "10.0.0.1:80" });
   const leaving = JSON.stringify({ service: "printer", address: "10.0.0.1:80", state: "draining" });
   const answers = [
@@ -243,16 +243,16 @@
 }
 Then(
   "orders, reads, reports and retirements are answered 503 at once, with when to come back",
-  allUnclear,
+  allUnavailable,
 );
 
 function storageMachines(this: World, names: string, least: number): void {
-  const machines = names.split(", ").map(seen);
+  const machines = names.split(", ").map(observedMachine);
   this.sight = { machines, othersLeast: least, copiesLeast: 2, copiesWanted: 3 };
 }
 Given("storage machines {string} of which {int} must be left", storageMachines);
 
-function seen(name: string): StorageSight["machines"][number] {
+function observedMachine(name: string): StorageSight["machines"][number] {
   return { identity: name, name, leaving: false };
 }
 
@@ -260,13 +260,13 @@
   for (const { machine, verb, answer } of table.hashes()) {
     this.time += 10;
     const method = verb === "begin" ? "POST" : "GET";
-    const told = await call(method, `retire/${machine}/${verb}`, "{}");
-    equal(told.status, Number(answer), `${verb} ${machine}`);
+    const response = await call(method, `retire/${machine}/${verb}`, "{}");
+    equal(response.status, Number(answer), `${verb} ${machine}`);
   }
 }
 Then("retirements are answered:", retirementsAnswered);
 
-function beganOnce(this: World, name: string): void {
+function drainStartedOnce(this: World, name: string): void {
   deepEqual(this.ledger.read<EmptyingRecord>(keys.emptying + name), { since: 21 });
 }
-Then("emptying {string} began once", beganOnce);
+Then("emptying {string} began once", drainStartedOnce);
--- a/features/steps/registry-sender.ts
+++ b/features/steps/registry-sender.ts
@@ -1,4 +1,4 @@
-/** Steps on which control machine sends a node the registry (docs/design.md §13.8.7). */
+/** Steps on which control machine sends the registry to a node (docs/design.md §13.8.7). */
 import { deepEqual } from "node:assert/strict";
 import { ControlZones, NodeHeartbeats, type SessionMessage } from "@chutewick/control";
 import { constants, Feed, Sessions, type ChainView, type Member } from "@chutewick/parts";
@@ -9,8 +9,8 @@
   zones: ReadonlyMap<string, string>;
 }
 
-/** ms. Moment of the heartbeats. */
-const NOW = 10_000;
+/** Monotonic time of the heartbeats. */
+const NOW_MS = 10_000;
 
 function controlMachines(this: World, list: string): void {
   const zones = new Map<string, string>();
@@ -24,7 +24,7 @@
 }
 Given("control machines {string} that have heard each other", controlMachines);
 
-function heartbeat(zone: string, rolled: number): SessionMessage {
+function heartbeat(zone: string, registryAgeMs: number): SessionMessage {
   const card = {
     identity: `node-in-${zone}`,
     address: "node:1",
@@ -36,10 +36,10 @@
     place: 0,
     telling: {},
   } as const;
-  return { kind: "session", card, askedAt: NOW, rolled };
+  return { kind: "session", card, askedAt: NOW_MS, rolled: registryAgeMs };
 }
 
-/** Who answers the heartbeat with a registry that names any node. */
+/** Members that answer the heartbeat with a registry that isn't empty. */
 function sendersTo(world: World, message: SessionMessage): string[] {
   const senders: string[] = [];
   for (const member of world.view.members) {
@@ -56,10 +56,10 @@
       zones,
       feed: new Feed(),
       sessions: new Sessions(),
-      wall: NOW,
-      now: NOW,
+      wall: NOW_MS,
+      now: NOW_MS,
     });
-    const lease = messages.find((each) => each.kind === "lease");
+    const lease = messages.find((answer) => answer.kind === "lease");
     if (lease !== undefined && lease.roll.nodes.length > 0) senders.push(member.identity);
   }
   return senders;
--- a/features/steps/silent-nodes.ts
+++ b/features/steps/silent-nodes.ts
@@ -1,3 +1,4 @@
+/** Steps on how control machines contact silent nodes (docs/design.md §13.8.4). */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { SilentNodes } from "@chutewick/control";
@@ -14,47 +15,47 @@
 interface World {
   silentNodes: SilentNodes;
   deployment: Deployment;
-  /** Number of the newest configuration. */
+  /** Version of the newest configuration. */
   mark: number;
 }
 
-/** ms. */
-const lookEvery = 50;
-const orderPatience = 12_000;
-/** s. From a replacement to a group of three whole copies, and from a loss to three copies of each queue. */
-const replacementTakes = 9;
-const repairTakes = 9;
+const pollIntervalMs = 50;
+const orderTimeoutMs = 12_000;
+/** Time until the control group has three complete replicas again after a replacement. */
+const replacementSeconds = 9;
+/** Time until each queue has three replicas again after a loss. */
+const repairSeconds = 9;
 
 const none: ReadonlySet<string> = new Set();
 
-// The list itself
+// SilentNodes alone
 
-function hearsNode(this: World, address: string): void {
+function receivesHeartbeat(this: World, address: string): void {
   this.silentNodes = new SilentNodes();
   deepEqual(this.silentNodes.silent(new Set([address]), [], 0), []);
 }
-Given("a control machine that hears a node at {word}", hearsNode);
+Given("a control machine that hears a node at {word}", receivesHeartbeat);
 
-function callsWhileRemembered(this: World, address: string): void {
+function contactsWhileRemembered(this: World, address: string): void {
   deepEqual(this.silentNodes.silent(none, [], constants.sessionLasts), [address]);
   deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered), [address]);
   deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered + 1), []);
 }
-Then("it calls {word} while the node is silent, until it is forgotten", callsWhileRemembered);
+Then("it calls {word} while the node is silent, until it is forgotten", contactsWhileRemembered);
 
-function callsWhileRecorded(this: World, address: string): void {
+function contactsWhileRecorded(this: World, address: string): void {
   const late = constants.silentNodeRemembered * 10;
   deepEqual(this.silentNodes.silent(none, [address], late), [address]);
   deepEqual(this.silentNodes.silent(new Set([address]), [address], late + 1), []);
 }
 Then(
   "it calls {word} as long as control state names it, and not while it is heard",
-  callsWhileRecorded,
+  contactsWhileRecorded,
 );
 
 // Whole deployments
 
-function deployment(this: World, alone: string): void {
+function startDeployment(this: World, alone: string): void {
   this.deployment = new Deployment(31, {
     controls: 3,
     storages: 3,
@@ -71,25 +72,25 @@
 }
 Given(
   /^a deployment of three machines of each kind whose nodes (go on alone|promise each other)$/,
-  deployment,
+  startDeployment,
 );
 
 function changeConfiguration(world: World): void {
-  const mark = world.mark + 1;
+  const version = world.mark + 1;
   const command = {
     kind: "put",
     expected: world.mark,
-    mark,
+    mark: version,
     value: configurationOf(2),
-    origin: `text ${mark}`,
+    origin: `text ${version}`,
   } as const;
-  const { told } = world.deployment.order(command, world.deployment.one(), orderPatience);
-  ok(told?.kind === "confirmed", JSON.stringify(told));
-  deepEqual(told.value, { kind: "IN_FORCE", mark });
-  world.mark = mark;
+  const { told: outcome } = world.deployment.order(command, world.deployment.one(), orderTimeoutMs);
+  ok(outcome?.kind === "confirmed", JSON.stringify(outcome));
+  deepEqual(outcome.value, { kind: "IN_FORCE", mark: version });
+  world.mark = version;
 }
 
-/** Settings are written once: those of nodes that stand name the replaced machines for good. */
+/** Settings of running nodes don't change, so they keep naming the replaced machines. */
 function everySeedIsReplaced(this: World): void {
   const { deployment } = this;
   for (const address of ["control-1", "control-2", "control-3"]) {
@@ -101,7 +102,7 @@
     deployment.founded();
     deployment.after(0.5);
     deployment.machine(`${address}-new`).start();
-    deployment.after(replacementTakes);
+    deployment.after(replacementSeconds);
   }
   deepEqual(deployment.members, ["control-1-new", "control-2-new", "control-3-new"]);
 }
@@ -110,7 +111,7 @@
   everySeedIsReplaced,
 );
 
-function isDown(this: World, name: string, how: string, seconds: number): void {
+function restart(this: World, name: string, how: string, seconds: number): void {
   const machine = this.deployment.machine(name);
   machine.kill(true);
   if (how === "without its disk") machine.wipe();
@@ -120,46 +121,46 @@
 }
 When(
   /^([\w-]+) comes back (with what it kept|without its disk), (\d+) s after it lost power$/,
-  isDownFor,
+  restartsAfter,
 );
-function isDownFor(this: World, name: string, how: string, seconds: string): void {
-  isDown.call(this, name, how, Number(seconds));
+function restartsAfter(this: World, name: string, how: string, seconds: string): void {
+  restart.call(this, name, how, Number(seconds));
 }
 
-function findsTheGroup(this: World, name: string, seconds: number): void {
+function reconnects(this: World, name: string, seconds: number): void {
   const { deployment, mark } = this;
   const machine = deployment.machine(name) as AccessMachine | StorageMachine;
   const since = deployment.world.now;
   const until = since + seconds * 1_000;
   while (!isInForceAt(machine, mark) && deployment.world.now < until)
-    deployment.world.run(deployment.world.now + lookEvery);
+    deployment.world.run(deployment.world.now + pollIntervalMs);
   ok(isInForceAt(machine, mark), `${name} is at ${machine.core.membership.configuration.mark}`);
 }
-Then("{word} holds a lease and has the newest configuration within {int} s", findsTheGroup);
+Then("{word} holds a lease and has the newest configuration within {int} s", reconnects);
 
 function isInForceAt({ core, world }: AccessMachine | StorageMachine, mark: number): boolean {
   return core.membership.holds(world.now) && core.membership.configuration.mark === mark;
 }
 
-function wholeCopies(this: World, count: number): void {
-  this.deployment.after(repairTakes);
+function hasAllReplicas(this: World, count: number): void {
+  this.deployment.after(repairSeconds);
   const queues = [...this.deployment.queues()];
   ok(queues.length > 0);
   for (const [queue, members] of queues)
     equal(members.length, count, `${queue}: ${members.join()}`);
 }
-Then("each queue is whole again with {int} copies", wholeCopies);
+Then("each queue is whole again with {int} copies", hasAllReplicas);
 
-/** Control reaches the nodes, and none of them reaches control. */
-function controlHearsNobody(this: World): void {
+/** Messages from control reach the nodes, but messages from the nodes don't reach control. */
+function silenceNodes(this: World): void {
   const { deployment } = this;
   const nodes: Machine[] = [...deployment.accesses, ...deployment.storages];
   for (const node of nodes)
     for (const control of deployment.controls) deployment.silence(node.address, control.address);
 }
-When("no control machine hears any node, and every node hears control", controlHearsNobody);
+When("no control machine hears any node, and every node hears control", silenceNodes);
 
-function nodesGoOn(this: World, seconds: number): void {
+function nodesKeepLeases(this: World, seconds: number): void {
   const { deployment } = this;
   deployment.after(seconds);
   for (const node of deployment.accesses) {
@@ -169,5 +170,5 @@
 }
 Then(
   "after {int} s every access node counts control as away and goes on by its peers' promises",
-  nodesGoOn,
+  nodesKeepLeases,
 );
