--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -169,27 +169,27 @@
       | cannot reach one of the others    | 3 |
 
   Scenario: the registry comes from a control machine of the node's own zone
-    Given control machines "c1 in here, c2 in there, c3 in yonder" that have heard each other
+    Given control machines "c1 in here, c2 in there, c3 in yonder" that know each other's zones
     Then c1 alone sends the registry to a node in here
     And c2 alone sends the registry to a node in there
     And c3 alone sends the registry to a node in yonder
     And one of them sends the registry to a node in nowhere
-    And all of them send it to a node in there that got none for two heartbeats
+    And all of them send it to a node in there that has received none for two heartbeats
 
-  Scenario: a control machine calls nodes that are silent
-    Given a control machine that hears a node at access-1
-    Then it calls access-1 while the node is silent, until it is forgotten
-    And it calls access-1 as long as control state names it, and not while it is heard
+  Scenario: a control machine contacts silent nodes
+    Given a control machine that receives heartbeats of a node at access-1
+    Then it contacts access-1 while the node is silent, until its retention ends
+    And it contacts access-1 as long as control records name it, and not while it sends heartbeats
 
   Scenario Outline: nodes that <alone> find the group though their settings name only control machines that are gone
     Given a deployment of three machines of each kind whose nodes <alone>
-    When each control machine that the settings name is replaced by an empty one elsewhere
+    When each control machine that the settings name is replaced by an empty one at another address
     And storage-1 comes back with what it kept, 5 s after it lost power
     Then storage-1 holds a lease and has the newest configuration within 4 s
-    And each queue is whole again with 3 copies
+    And each queue is complete again with 3 copies
     When storage-2 comes back without its disk, 5 s after it lost power
     Then storage-2 holds a lease and has the newest configuration within 4 s
-    And each queue is whole again with 3 copies
+    And each queue is complete again with 3 copies
     When access-1 comes back with what it kept, 5 s after it lost power
     Then access-1 holds a lease and has the newest configuration within 4 s
 
@@ -198,7 +198,7 @@
       | go on alone        |
       | promise each other |
 
-  Scenario: a call of control is no sign that it is near
+  Scenario: a message from control that answers no heartbeat does not count as contact
     Given a deployment of three machines of each kind whose nodes promise each other
-    When no control machine hears any node, and every node hears control
-    Then after 6 s every access node counts control as away and goes on by its peers' promises
+    When messages from nodes to control machines are lost, and messages from control machines arrive
+    Then after 6 s every access node has lost contact with control and keeps its lease by its peers' promises
--- a/features/resting.feature
+++ b/features/resting.feature
@@ -19,12 +19,12 @@
     And in a fleet of 78 nodes 5 of 10 heartbeats carry the registry
     And in a fleet of 860 nodes 4 of 10 heartbeats carry the registry
 
-  Scenario: a member tells its head at once what is new of its lease holders, and repeats the rest seldom
-    Given a member of the control group that has told its head of place 5 in view 1
-    Then it tells place 5 in view 1 again after 100 ms, not sooner
-    And it tells place 6 in view 1 at once
-    And it tells place 5 in view 2 at once
-    And it never tells place 0
+  Scenario: a member reports progress of its lease holders to its head at once, and repeats unchanged reports rarely
+    Given a member of the control group that has reported log index 5 in view 1 to its head
+    Then it reports log index 5 in view 1 again after 100 ms, not sooner
+    And it reports log index 6 in view 1 at once
+    And it reports log index 5 in view 2 at once
+    And it never reports log index 0
 
   Scenario: an idle process gets fewer beats, and the usual ones as soon as something has begun
     Given a beat of a process that is idle
--- a/features/steps/fleet-record.ts
+++ b/features/steps/fleet-record.ts
@@ -93,7 +93,11 @@
   end(this, this.deployment.accesses.slice(0, count), true);
   this.deployment.after(REPLACEMENT_DELAY_S);
 }
-When("{int} access nodes stop as planned for good", { timeout: 120_000 }, stopWithoutReplacement);
+When(
+  "{int} access nodes stop as planned without replacement",
+  { timeout: 120_000 },
+  stopWithoutReplacement,
+);
 
 function loseAndReplace(this: World, count: number, seconds: number, laterCount: number): void {
   const { deployment } = this;
@@ -107,7 +111,7 @@
   deployment.after(seconds);
 }
 When(
-  "{int} access nodes are lost and replaced elsewhere, and {int} s later {int} of those that are there are lost",
+  "{int} access nodes are lost and replaced elsewhere, and {int} s later {int} of the remaining ones are lost",
   { timeout: 300_000 },
   loseAndReplace,
 );
@@ -117,7 +121,7 @@
   deepEqual(this.broken, []);
 }
 Then(
-  "each change that was entered meanwhile and a last one were told within 4 s",
+  "each change submitted meanwhile and a final one were acknowledged within 4 s",
   { timeout: 120_000 },
   allAcknowledged,
 );
--- a/features/steps/registry-sender.ts
+++ b/features/steps/registry-sender.ts
@@ -22,7 +22,7 @@
   this.view = { mark: 1, members };
   this.zones = zones;
 }
-Given("control machines {string} that have heard each other", controlMachines);
+Given("control machines {string} that know each other's zones", controlMachines);
 
 function heartbeat(zone: string, registryAgeMs: number): SessionMessage {
   const card = {
@@ -79,4 +79,7 @@
   const members = this.view.members.map(({ identity }) => identity);
   deepEqual(sendersTo(this, heartbeat(zone, constants.sessionEvery * 2)), members);
 }
-Then("all of them send it to a node in {word} that got none for two heartbeats", allSendTo);
+Then(
+  "all of them send it to a node in {word} that has received none for two heartbeats",
+  allSendTo,
+);
--- a/features/steps/resting.ts
+++ b/features/steps/resting.ts
@@ -44,25 +44,31 @@
   this.coverage = new LeaseCoverage(0);
   equal(this.coverage.isToBeTold(place, view, this.now), true);
 }
-Given("a member of the control group that has told its head of place {int} in view {int}", aMember);
+Given(
+  "a member of the control group that has reported log index {int} in view {int} to its head",
+  aMember,
+);
 
-function tellsAgainAfter(this: World, place: number, view: number, milliseconds: number): void {
+function reportsAgainAfter(this: World, place: number, view: number, milliseconds: number): void {
   equal(this.coverage.isToBeTold(place, view, this.now + milliseconds - 1), false);
   this.now += milliseconds;
   equal(this.coverage.isToBeTold(place, view, this.now), true);
 }
-Then("it tells place {int} in view {int} again after {int} ms, not sooner", tellsAgainAfter);
+Then(
+  "it reports log index {int} in view {int} again after {int} ms, not sooner",
+  reportsAgainAfter,
+);
 
-function tellsAtOnce(this: World, place: number, view: number): void {
+function reportsAtOnce(this: World, place: number, view: number): void {
   this.now += 1;
   equal(this.coverage.isToBeTold(place, view, this.now), true);
 }
-Then("it tells place {int} in view {int} at once", tellsAtOnce);
+Then("it reports log index {int} in view {int} at once", reportsAtOnce);
 
-function neverTells(this: World, place: number): void {
+function neverReports(this: World, place: number): void {
   equal(this.coverage.isToBeTold(place, 1, this.now + 60_000), false);
 }
-Then("it never tells place {int}", neverTells);
+Then("it never reports log index {int}", neverReports);
 
 function idleBeat(this: World): void {
   mock.timers.enable({ apis: ["setTimeout"] });
--- a/features/steps/silent-nodes.ts
+++ b/features/steps/silent-nodes.ts
@@ -34,14 +34,17 @@
   this.silentNodes = new SilentNodes();
   deepEqual(this.silentNodes.silent(new Set([address]), [], 0), []);
 }
-Given("a control machine that hears a node at {word}", receivesHeartbeat);
+Given("a control machine that receives heartbeats of a node at {word}", receivesHeartbeat);
 
 function contactsWhileRemembered(this: World, address: string): void {
   deepEqual(this.silentNodes.silent(none, [], constants.sessionLasts), [address]);
   deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered), [address]);
   deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered + 1), []);
 }
-Then("it calls {word} while the node is silent, until it is forgotten", contactsWhileRemembered);
+Then(
+  "it contacts {word} while the node is silent, until its retention ends",
+  contactsWhileRemembered,
+);
 
 function contactsWhileRecorded(this: World, address: string): void {
   const late = constants.silentNodeRemembered * 10;
@@ -49,7 +52,7 @@
   deepEqual(this.silentNodes.silent(new Set([address]), [address], late + 1), []);
 }
 Then(
-  "it calls {word} as long as control state names it, and not while it is heard",
+  "it contacts {word} as long as control records name it, and not while it sends heartbeats",
   contactsWhileRecorded,
 );
 
@@ -107,7 +110,7 @@
   deepEqual(deployment.members, ["control-1-new", "control-2-new", "control-3-new"]);
 }
 When(
-  "each control machine that the settings name is replaced by an empty one elsewhere",
+  "each control machine that the settings name is replaced by an empty one at another address",
   everySeedIsReplaced,
 );
 
@@ -149,7 +152,7 @@
   for (const [queue, members] of queues)
     equal(members.length, count, `${queue}: ${members.join()}`);
 }
-Then("each queue is whole again with {int} copies", hasAllReplicas);
+Then("each queue is complete again with {int} copies", hasAllReplicas);
 
 /** Messages from control reach the nodes, but messages from the nodes don't reach control. */
 function silenceNodes(this: World): void {
@@ -158,7 +161,10 @@
   for (const node of nodes)
     for (const control of deployment.controls) deployment.silence(node.address, control.address);
 }
-When("no control machine hears any node, and every node hears control", silenceNodes);
+When(
+  "messages from nodes to control machines are lost, and messages from control machines arrive",
+  silenceNodes,
+);
 
 function nodesKeepLeases(this: World, seconds: number): void {
   const { deployment } = this;
@@ -169,6 +175,6 @@
   }
 }
 Then(
-  "after {int} s every access node counts control as away and goes on by its peers' promises",
+  "after {int} s every access node has lost contact with control and keeps its lease by its peers' promises",
   nodesKeepLeases,
 );
