--- a/features/steps/registry-sender.ts
+++ b/features/steps/registry-sender.ts
@@ -45,7 +45,7 @@
   for (const member of world.view.members) {
     const zones = new ControlZones(member, world.zones.get(member.address));
     for (const [address, zone] of world.zones)
-      if (address !== member.address) zones.heard(address, zone);
+      if (address !== member.address) zones.setZone(address, zone);
     const { messages } = new NodeHeartbeats().answer(message, {
       self: member.identity,
       life: "life",
--- a/packages/control/src/control-zones.ts
+++ b/packages/control/src/control-zones.ts
@@ -12,7 +12,7 @@
   }
 
   /** Records the zone that a peer reported in its heartbeat. */
-  heard(from: string, zone: string | undefined): void {
+  setZone(from: string, zone: string | undefined): void {
     if (zone === undefined) this.#zones.delete(from);
     else this.#zones.set(from, zone);
   }
--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -54,7 +54,7 @@
 import { planningContextOf, type PlanningContextSource } from "./queue-reports.js";
 import { QuorumContact } from "./quorum-contact.js";
 import { isDeregistered, recordReport } from "./runner-announcements.js";
-import { SharesInStep } from "./shares-in-step.js";
+import { ShareTracker } from "./shares-in-step.js";
 import { SilentNodes } from "./silent-nodes.js";
 import { ControlUsage } from "./usage/control-usage.js";
 import type { UsageLedger } from "./usage/usage-ledger.js";
@@ -82,7 +82,7 @@
   #policy: Policy;
   #sessions: Sessions;
   #requests = new HeadRequests();
-  #sharesInStep = new SharesInStep();
+  #shareTracker = new ShareTracker();
   #leaseCoverage: LeaseCoverage;
   #grantFloor: GrantFloor;
   /** Monotonic time in ms of the last planning round. */
@@ -222,9 +222,9 @@
         return this.#heartbeat(message, now);
       case "roll":
         this.#sessions.merge(message.roll, now, lateness(message.back, this.#incarnation, now));
-        this.#peerHeartbeats.heard(from, message.stamp, now);
-        this.#zones.heard(from, message.zone);
-        this.#quorumContact.heard(from, message.back, now);
+        this.#peerHeartbeats.recordStamp(from, message.stamp, now);
+        this.#zones.setZone(from, message.zone);
+        this.#quorumContact.recordHeartbeat(from, message.back, now);
         if (message.decidesDuties === true) this.#dutyDeciders.add(from);
         else this.#dutyDeciders.delete(from);
         return this.#usage.heardPeer(from, message, this.#isNodeGone(now), now);
@@ -360,10 +360,10 @@
    */
   #withStorageMachines(command: ControlCommand, now: number): ControlCommand | undefined {
     if (command.kind !== "empty" && command.kind !== "emptying") return command;
-    const sight = drain.observe(this.#sessions.live("storage", now), this.#policy);
-    if (command.kind === "emptying") return { ...command, sight };
+    const observed = drain.observe(this.#sessions.live("storage", now), this.#policy);
+    if (command.kind === "emptying") return { ...command, sight: observed };
     if (command.wanted && this.#chain.serves && now < this.#planNotBefore) return undefined;
-    return drain.withTarget(this.#feed, command, sight);
+    return drain.withTarget(this.#feed, command, observed);
   }
 
   /**
@@ -376,10 +376,10 @@
     now: number,
   ): { told: Announced; outputs: ControlOutput[] } {
     if (isDeregistered(card, this.#feed)) return { told: { kind: "SAID_GOODBYE" }, outputs: [] };
-    const inContact = this.inContact(now);
-    const message = recordReport({ ...card, sequence, age: 0 }, this.#sessions, inContact, now);
+    const hasQuorum = this.inContact(now);
+    const message = recordReport({ ...card, sequence, age: 0 }, this.#sessions, hasQuorum, now);
     const outputs = message === undefined ? [] : this.#toControlsAndAccess(message, now);
-    return { told: { kind: inContact ? "TAKEN" : "NO_QUORUM" }, outputs };
+    return { told: { kind: hasQuorum ? "TAKEN" : "NO_QUORUM" }, outputs };
   }
 
   #toControlsAndAccess(message: ControlMessage, now: number): ControlOutput[] {
@@ -501,7 +501,7 @@
       view: this.#chain.view?.mark,
       own: this.#ownCoverage(now),
       holders: this.#sessions.holders(now),
-      others: this.#leaseCoverage.toldBy(this.#otherMembers),
+      others: this.#leaseCoverage.reportedBy(this.#otherMembers),
     };
     return [{ kind: "note", text: "a change is in force", facts }];
   }
@@ -512,7 +512,7 @@
    */
   #inForceBy({ value, place }: { value: ControlResult; place: number }): number | undefined {
     if (isClaimResult(value)) return 0;
-    return value.kind === "IN_FORCE" ? this.#sharesInStep.inForceBy(place, this.#feed) : place;
+    return value.kind === "IN_FORCE" ? this.#shareTracker.inForceBy(place, this.#feed) : place;
   }
 
   /** Log index up to which the lease holders of all members have the feed. */
@@ -659,7 +659,7 @@
     if (!this.#isMember) return [];
     const addresses = [this.#self.address, ...this.#agreement.addresses()];
     return this.#silentNodes
-      .toCall(this.#sessions, this.#feed, now)
+      .addressesToContact(this.#sessions, this.#feed, now)
       .map((to) => ({ kind: "send", to, message: { kind: "controls", addresses } }));
   }
 
@@ -673,7 +673,7 @@
       chainTime: this.#chain.time(now),
       isInForce: (place) => place <= this.#coveredByAll(now) && this.#isAcceptedByFleet(place),
     });
-    this.#sharesInStep.planned(commands, this.#feed);
+    this.#shareTracker.planned(commands, this.#feed);
     const outputs: ControlOutput[] = [];
     for (const command of commands)
       outputs.push(
--- a/packages/control/src/emptying.ts
+++ b/packages/control/src/emptying.ts
@@ -96,12 +96,12 @@
 }
 
 /** Completes a command for submission: adds the observed machines, and replaces a machine's name by the identity of its disk. */
-function withTarget(records: Records, command: DrainCommand, sight: StorageSight): DrainCommand {
-  for (const [identity, { name }] of drainingMachines(records, sight.machines))
-    if (name === command.identity) return { ...command, identity, name, sight };
-  for (const { identity, name } of sight.machines)
-    if (name === command.identity) return { ...command, identity, name, sight };
-  return { ...command, sight };
+function withTarget(records: Records, command: DrainCommand, observed: StorageSight): DrainCommand {
+  for (const [identity, { name }] of drainingMachines(records, observed.machines))
+    if (name === command.identity) return { ...command, identity, name, sight: observed };
+  for (const { identity, name } of observed.machines)
+    if (name === command.identity) return { ...command, identity, name, sight: observed };
+  return { ...command, sight: observed };
 }
 
 /**
@@ -109,12 +109,12 @@
  * acknowledged without effect, since it may be a retry after a lost answer.
  */
 function apply(ledger: Ledger, command: DrainCommand, time: number): DrainRefusal | undefined {
-  const { sight, identity, wanted, name } = command;
-  if (sight !== undefined) {
-    const isDraining = drainingMachines(ledger, sight.machines).has(identity);
+  const { sight: observed, identity, wanted, name } = command;
+  if (observed !== undefined) {
+    const isDraining = drainingMachines(ledger, observed.machines).has(identity);
     if (wanted && isDraining) return undefined;
     const refusal = wanted
-      ? refuseDrain(ledger, command, sight)
+      ? refuseDrain(ledger, command, observed)
       : refuseCancellation(command, isDraining);
     if (refusal !== undefined) return refusal;
   }
@@ -137,13 +137,13 @@
 function refuseDrain(
   records: Records,
   { identity, name = identity }: DrainCommand,
-  sight: StorageSight,
+  observed: StorageSight,
 ): DrainRefusal | undefined {
-  if (!isKnown(records, identity, sight))
+  if (!isKnown(records, identity, observed))
     return { kind: "UNKNOWN_MACHINE", reason: `${name}: there is no such storage machine` };
-  const others = availableMachines(records, sight);
+  const others = availableMachines(records, observed);
   others.delete(identity);
-  const { othersLeast } = sight;
+  const { othersLeast } = observed;
   if (others.size < othersLeast)
     return {
       kind: "TOO_FEW",
@@ -152,8 +152,8 @@
   return undefined;
 }
 
-function isKnown(records: Records, identity: string, sight: StorageSight): boolean {
-  for (const machine of sight.machines) if (machine.identity === identity) return true;
+function isKnown(records: Records, identity: string, observed: StorageSight): boolean {
+  for (const machine of observed.machines) if (machine.identity === identity) return true;
   for (const [, view] of records.under<ChainView>(keys.queue))
     if (view.members.some(hasIdentity, { identity })) return true;
   return false;
@@ -169,13 +169,13 @@
 }
 
 /** Progress of a machine's drain; the machine is given by its name or by the identity of its disk. */
-function state(records: Records, machine: string, sight: StorageSight): EmptyingState {
+function state(records: Records, machine: string, observed: StorageSight): EmptyingState {
   const identities = new Set<string>();
-  for (const [identity, { name }] of drainingMachines(records, sight.machines))
+  for (const [identity, { name }] of drainingMachines(records, observed.machines))
     if (identity === machine || name === machine) identities.add(identity);
   if (identities.size === 0) return undefined;
-  const others = availableMachines(records, sight);
-  const wanted = Math.max(sight.copiesLeast, Math.min(sight.copiesWanted, others.size));
+  const others = availableMachines(records, observed);
+  const wanted = Math.max(observed.copiesLeast, Math.min(observed.copiesWanted, others.size));
   for (const [, view] of records.under<ChainView>(keys.queue))
     if (isStoredAt(view, identities) || copiesAt(view, others) < wanted) return "emptying";
   return "emptied";
--- a/packages/control/src/forwarding.ts
+++ b/packages/control/src/forwarding.ts
@@ -1,6 +1,6 @@
 import { constants } from "@chutewick/parts";
 import type { ControlOutcome } from "./control-messages.js";
-import { isRepeatable, type ControlCommand } from "./machine.js";
+import { isIdempotent, type ControlCommand } from "./machine.js";
 
 /** A request that arrived at this machine and is forwarded to the head of the control group. */
 interface ForwardedRequest {
@@ -81,7 +81,7 @@
     if (forwarded === undefined) return undefined;
     if (outcome.kind === "not-run" && outcome.isUnwritable === true) forwarded.diskRejections += 1;
     const cannotSucceed = wasNeverSubmitted(forwarded) && !canReplaceHead;
-    const isRetried = isRepeatable(forwarded.command) && !cannotSucceed;
+    const isRetried = isIdempotent(forwarded.command) && !cannotSucceed;
     if (outcome.kind !== "confirmed" && isRetried) return undefined;
     this.#pending.delete(id);
     return { ticket: forwarded.ticket, outcome };
@@ -107,7 +107,7 @@
     for (const [id, { command, sentAt, to }] of this.#pending) {
       const isOverdue = now - sentAt > constants.passAgainEvery;
       const isHeadChanged = head !== undefined && head !== to;
-      if (isRepeatable(command) && (isOverdue || isHeadChanged)) due.push(id);
+      if (isIdempotent(command) && (isOverdue || isHeadChanged)) due.push(id);
     }
     return due;
   }
--- a/packages/control/src/lease-coverage.ts
+++ b/packages/control/src/lease-coverage.ts
@@ -59,7 +59,7 @@
   }
 
   /** Log index reported by each other member in this view, for logging. */
-  toldBy(others: readonly Member[]): Record<string, number> {
+  reportedBy(others: readonly Member[]): Record<string, number> {
     const reported: Record<string, number> = {};
     for (const { identity } of others)
       reported[identity] = this.#coverageByMember.get(identity) ?? 0;
--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -159,7 +159,7 @@
 }
 
 /** Whether a command is idempotent, so that it may be submitted again. */
-export function isRepeatable(command: ControlCommand): boolean {
+export function isIdempotent(command: ControlCommand): boolean {
   switch (command.kind) {
     case "read":
     case "emptying":
--- a/packages/control/src/peer-heartbeats.ts
+++ b/packages/control/src/peer-heartbeats.ts
@@ -25,7 +25,7 @@
   }
 
   /** Records a peer's timestamp so that the next heartbeat echoes it; it is undefined from releases that send none. */
-  heard(from: string, stamp: Stamp | undefined, now: number): void {
+  recordStamp(from: string, stamp: Stamp | undefined, now: number): void {
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
   }
 
--- a/packages/control/src/quorum-contact.ts
+++ b/packages/control/src/quorum-contact.ts
@@ -17,7 +17,7 @@
   }
 
   /** Records a heartbeat of a peer; `back` echoes our newest heartbeat and is undefined from releases that echo none. */
-  heard(address: string, back: Back | null | undefined, now: number): void {
+  recordHeartbeat(address: string, back: Back | null | undefined, now: number): void {
     const sentAt = this.#sentAtOf(back, now);
     if (sentAt === undefined) return;
     this.#sentAt.set(address, Math.max(sentAt, this.#sentAt.get(address) ?? sentAt));
--- a/packages/control/src/shares-in-step.ts
+++ b/packages/control/src/shares-in-step.ts
@@ -8,7 +8,7 @@
  * Tracks for the head which changes already have their shares in the feed. A change that moves shares is in force only together
  * with the new shares: a node that has only the change would still admit lots (batch jobs) by the previous shares.
  */
-export class SharesInStep {
+export class ShareTracker {
   /** Newest log index of the feed at which planning changed no share. */
   #lastInStepIndex = 0;
 
--- a/packages/control/src/silent-nodes.ts
+++ b/packages/control/src/silent-nodes.ts
@@ -11,7 +11,7 @@
   #lastSeenAt = new Map<string, number>();
 
   /** Addresses to contact now, according to the sessions and the control records. */
-  toCall(sessions: Sessions, feed: Feed, now: number): string[] {
+  addressesToContact(sessions: Sessions, feed: Feed, now: number): string[] {
     const live = new Set<string>();
     for (const kind of ["access", "storage"] as const)
       for (const { address } of sessions.live(kind, now)) live.add(address);
