--- a/features/steps/registry-sender.ts
+++ b/features/steps/registry-sender.ts
@@ -1,4 +1,4 @@
-/** Steps on which control machine sends a node the registry (docs/design.md §13.8.7). */
+/** Steps on which control machine sends the registry to a node (docs/design.md §13.8.7). */
 import { deepEqual } from "node:assert/strict";
 import { ControlZones, NodeHeartbeats, type SessionMessage } from "@chutewick/control";
 import { constants, Feed, Sessions, type ChainView, type Member } from "@chutewick/parts";
@@ -9,8 +9,8 @@
   zones: ReadonlyMap<string, string>;
 }
 
-/** ms. Moment of the heartbeats. */
-const NOW = 10_000;
+/** Monotonic time of the heartbeats. */
+const NOW_MS = 10_000;
 
 function controlMachines(this: World, list: string): void {
   const zones = new Map<string, string>();
@@ -22,9 +22,9 @@
   this.view = { mark: 1, members };
   this.zones = zones;
 }
-Given("control machines {string} that have heard each other", controlMachines);
+Given("control machines {string} that know each other's zones", controlMachines);
 
-function heartbeat(zone: string, rolled: number): SessionMessage {
+function heartbeat(zone: string, registryAgeMs: number): SessionMessage {
   const card = {
     identity: `node-in-${zone}`,
     address: "node:1",
@@ -36,16 +36,16 @@
     place: 0,
     telling: {},
   } as const;
-  return { kind: "session", card, askedAt: NOW, rolled };
+  return { kind: "session", card, askedAt: NOW_MS, rolled: registryAgeMs };
 }
 
-/** Who answers the heartbeat with a registry that names any node. */
+/** Members that answer the heartbeat with a registry that isn't empty. */
 function sendersTo(world: World, message: SessionMessage): string[] {
   const senders: string[] = [];
   for (const member of world.view.members) {
     const zones = new ControlZones(member, world.zones.get(member.address));
     for (const [address, zone] of world.zones)
-      if (address !== member.address) zones.heard(address, zone);
+      if (address !== member.address) zones.setZone(address, zone);
     const { messages } = new NodeHeartbeats().answer(message, {
       self: member.identity,
       life: "life",
@@ -56,10 +56,10 @@
       zones,
       feed: new Feed(),
       sessions: new Sessions(),
-      wall: NOW,
-      now: NOW,
+      wall: NOW_MS,
+      now: NOW_MS,
     });
-    const lease = messages.find((each) => each.kind === "lease");
+    const lease = messages.find((answer) => answer.kind === "lease");
     if (lease !== undefined && lease.roll.nodes.length > 0) senders.push(member.identity);
   }
   return senders;
@@ -79,4 +79,7 @@
   const members = this.view.members.map(({ identity }) => identity);
   deepEqual(sendersTo(this, heartbeat(zone, constants.sessionEvery * 2)), members);
 }
-Then("all of them send it to a node in {word} that got none for two heartbeats", allSendTo);
+Then(
+  "all of them send it to a node in {word} that has received none for two heartbeats",
+  allSendTo,
+);
