--- a/packages/parts/src/agreed-time.ts
+++ b/packages/parts/src/agreed-time.ts
@@ -1,60 +1,62 @@
-/** True time from the wall clocks of several machines, of which some may be stepped; without I/O (docs/design.md §14.1). */
+/** Time agreed from the wall clocks of several machines, of which some may be stepped; no I/O (docs/design.md §14.1). */
 import { constants } from "./constants.js";
 
-/** What a machine told of its wall clock. */
+/** A wall clock reading of a machine. */
 export interface ToldClock {
-  /** The machine that told it. */
+  /** Machine that reported the reading. */
   readonly source: string;
   /** ms since the start of 1970. */
   readonly wall: number;
-  /** ms between two moments of this process at most, between which the clock was read; the message arrived at the later one. */
+  /** Upper bound in ms on the age of the reading when its message arrived, measured by this process. */
   readonly late: number;
 }
 
-/** A wall clock as this process saw it last. */
+/** The last reading of a wall clock. */
 interface SeenClock {
-  /** ms. The wall clock minus the monotonic clock of this process. */
+  /** ms by which the wall clock is ahead of the monotonic clock of this process. */
   readonly offset: number;
-  /** ms, monotonic. */
+  /** Arrival of the reading, in ms of the monotonic clock. */
   readonly heardAt: number;
 }
 
 /**
- * True time: the monotonic clock of this process and the median of what other machines' wall clocks are ahead of it. Steps of a
- * minority of the clocks don't move it, nor does a step of this machine's own clock, which counts only while few others were heard.
+ * Agreed time: the monotonic clock of this process plus the median offset of the machines' wall clocks from it. Steps of a
+ * minority of the clocks don't change it, nor does a step of this machine's own clock, which is used only while too few
+ * clocks are known.
  */
 export class AgreedTime {
   readonly #clocks = new Map<string, SeenClock>();
   #ownOffset: number | undefined;
-  /** ms, monotonic. When the first clock was read. */
+  /** When the first clock was read, in ms of the monotonic clock. */
   #firstReadAt: number | undefined;
-  /** ms. The median, and when enough clocks were heard for it. */
+  /** The median offset in ms. */
   #offset: number | undefined;
+  /** When enough clocks were last known for the median, in ms of the monotonic clock. */
   #agreedAt = Number.NEGATIVE_INFINITY;
-  /** ms. The latest time that was told. */
+  /** The latest time that was returned, in ms. */
   #latest = Number.NEGATIVE_INFINITY;
 
-  /** A machine told its wall clock; what may be too old says too little. */
+  /** Records a reported wall clock; a reading that may be too old is ignored. */
   heard({ source, wall, late }: ToldClock, now: number): void {
     const isReadable = late >= 0 && late <= constants.toldClockLateMost;
     if (!isReadable) return;
-    /** On average it was read in the middle. */
+    // On average the clock was read in the middle of the interval.
     this.#clocks.set(source, { offset: wall - now + late / 2, heardAt: now });
     this.#agree(now);
   }
 
-  /** The wall clock of this machine, with each beat. */
+  /** Records the wall clock of this machine; called with each tick. */
   readOwnClock(wall: number, now: number): void {
     this.#ownOffset = wall - now;
     this.#agree(now);
   }
 
-  /** ms since the start of 1970; undefined before enough clocks were read, or for a while if there are no more. It waits for a while rather than go back by a little. */
+  /** Agreed time in ms since 1970, or undefined before enough clocks were read. A small step back makes it stand still instead. */
   at(now: number): number | undefined {
     if (this.#offset === undefined) return undefined;
     const time = now + this.#offset;
-    const isLittleBack = time < this.#latest && this.#latest - time <= constants.agreedTimeWaits;
-    if (!isLittleBack) this.#latest = time;
+    const isSmallStepBack = time < this.#latest && this.#latest - time <= constants.agreedTimeWaits;
+    if (!isSmallStepBack) this.#latest = time;
     return this.#latest;
   }
 
@@ -65,23 +67,23 @@
     const offsets: number[] = [];
     for (const { offset } of this.#clocks.values()) offsets.push(offset);
     if (offsets.length >= constants.clocksLeast) this.#agreedAt = now;
-    /** The monotonic clock keeps what was agreed better than a clock or two do that may have been stepped. */
+    // For a while the monotonic clock is more reliable than one or two wall clocks, which may have been stepped.
     else if (now - this.#agreedAt <= constants.agreedTimeStands) return;
-    /** A process that has just started may hear of enough clocks in a moment; its own may have been stepped. */
+    // A process that has just started may soon receive enough clocks; its own may have been stepped.
     else if (now - this.#firstReadAt < constants.clocksAwaited) return;
     else if (this.#ownOffset !== undefined) offsets.push(this.#ownOffset);
-    this.#offset = medianNear(this.#offset, offsets);
+    this.#offset = medianOffset(this.#offset, offsets);
   }
 }
 
-/** The median; of two in the middle the one nearer to what was agreed before, since the other may have been stepped. */
-function medianNear(before: number | undefined, offsets: number[]): number | undefined {
+/** The median; of two middle values the one closer to the previous offset, since the other may have been stepped. */
+function medianOffset(previous: number | undefined, offsets: number[]): number | undefined {
   offsets.sort(ascending);
   const upper = offsets[Math.floor(offsets.length / 2)];
   const lower = offsets[Math.floor((offsets.length - 1) / 2)];
-  if (upper === undefined || lower === undefined) return before;
-  if (before === undefined) return lower;
-  return Math.abs(upper - before) < Math.abs(lower - before) ? upper : lower;
+  if (upper === undefined || lower === undefined) return previous;
+  if (previous === undefined) return lower;
+  return Math.abs(upper - previous) < Math.abs(lower - previous) ? upper : lower;
 }
 
 function ascending(left: number, right: number): number {
--- a/packages/parts/src/bucket.ts
+++ b/packages/parts/src/bucket.ts
@@ -1,27 +1,29 @@
-/** The token bucket of one queue (docs/design.md §3.1). Times in ms, rate in tokens per second. */
+/** Token buckets of queues (docs/design.md §3.1). Times in ms, rates in tokens per second. */
+
+/** State of a token bucket. */
 export interface Bucket {
   /** Tokens at `refilledAt`; may be a fraction. */
   readonly tokens: number;
-  /** Ledger time of the last change. */
+  /** Ledger time in ms of the last change. */
   readonly refilledAt: number;
 }
 
-/** How a bucket refills: so many tokens in each window, up to a capacity. */
+/** Refill of a bucket: tokens per window, up to a capacity. */
 export interface Limits {
   readonly tokens: number;
   readonly windowSeconds: number;
   readonly capacity: number;
 }
 
-/** Outcome of one draw; only TAKEN changes the bucket. */
+/** Outcome of dequeuing one prompt; only TAKEN changes the bucket. */
 export type Draw<Prompt> =
   | { readonly kind: "TAKEN"; readonly prompt: Prompt; readonly bucket: Bucket }
   | { readonly kind: "EMPTY" }
-  /** wait in ms; undefined: until the season or the limit changes. */
+  /** Wait in ms; undefined: until the season or the limit changes. */
   | { readonly kind: "RATE_LIMITED"; readonly wait: number | undefined };
 
-/** Float noise that may not cost a waiter a second round; far below one token. */
-const grain = 1e-9;
+/** Tolerance for rounding errors, which must not make a caller wait twice; far below one token. */
+const TOKEN_TOLERANCE = 1e-9;
 
 /** Refill in tokens per second. */
 function rate(limits: Limits): number {
@@ -33,22 +35,22 @@
   return { tokens: limits.capacity, refilledAt: now };
 }
 
-/** Tokens at a moment; a clock that went back refills nothing. */
+/** Tokens at a given time; a clock that went back adds none. */
 function level(bucket: Bucket, limits: Limits, now: number): number {
   const elapsed = Math.max(0, now - bucket.refilledAt) / 1_000;
   return Math.min(limits.capacity, bucket.tokens + elapsed * rate(limits));
 }
 
-/** The source's step: refill, check and dequeue as one. A token is spent only on a prompt taken. */
+/** Refills, checks and dequeues in one step. A token is spent only if a prompt was dequeued. */
 function draw<Prompt>(
   bucket: Bucket,
   limits: Limits,
   now: number,
-  take: () => Prompt | undefined,
+  dequeue: () => Prompt | undefined,
 ): Draw<Prompt> {
   const tokens = level(bucket, limits, now);
-  if (tokens + grain >= 1) {
-    const prompt = take();
+  if (tokens + TOKEN_TOLERANCE >= 1) {
+    const prompt = dequeue();
     if (prompt === undefined) return { kind: "EMPTY" };
     return {
       kind: "TAKEN",
@@ -61,7 +63,7 @@
   return { kind: "RATE_LIMITED", wait: ((1 - tokens) / perSecond) * 1_000 };
 }
 
-/** New limits keep what was earned under the old ones, up to the new capacity. */
+/** Changes the limits; tokens accumulated under the old ones are kept up to the new capacity. */
 function relimit(bucket: Bucket, before: Limits, after: Limits, now: number): Bucket {
   return {
     tokens: Math.min(after.capacity, level(bucket, before, now)),
@@ -69,7 +71,7 @@
   };
 }
 
-/** The token of a prompt that was never sent comes back, up to capacity. */
+/** Returns the token of a prompt that was never sent, up to the capacity. */
 function restore(bucket: Bucket, limits: Limits, now: number): Bucket {
   return {
     tokens: Math.min(limits.capacity, level(bucket, limits, now) + 1),
--- a/packages/parts/src/caller-limits.ts
+++ b/packages/parts/src/caller-limits.ts
@@ -1,14 +1,14 @@
 import { constants } from "./constants.js";
 
-/** What a caller on passages may send, and how long it may take or rest (docs/design.md §13.2). */
+/** Size and time limits for callers on passages (docs/design.md §13.2). */
 export interface CallerLimits {
-  /** bytes. All header lines of one request, with their separators. */
+  /** Bytes of all header lines of one request, with their separators. */
   readonly headerBytes: number;
-  /** bytes. Body of one request. */
+  /** Bytes of the body of one request. */
   readonly bodyBytes: number;
-  /** ms. From the first byte of a request, or from connecting, to the end of its headers. */
+  /** ms from the first byte of a request, or from connecting, to the end of its headers. */
   readonly headerWait: number;
-  /** ms. A connection stays open at least this long between two requests. */
+  /** Minimum time in ms for which an idle connection stays open between two requests. */
   readonly idleWait: number;
 }
 
@@ -19,9 +19,9 @@
   idleWait: constants.passIdle,
 };
 
-/** The limits that a configuration tells, and the usual ones for those that it leaves out. */
-function withUsual(told: Partial<CallerLimits> | undefined): CallerLimits {
-  return told === undefined ? usual : { ...usual, ...told };
+/** Configured limits, completed by the defaults. */
+function withUsual(configured: Partial<CallerLimits> | undefined): CallerLimits {
+  return configured === undefined ? usual : { ...usual, ...configured };
 }
 
 export const callerLimits = { usual, withUsual };
--- a/packages/parts/src/constants.ts
+++ b/packages/parts/src/constants.ts
@@ -1,440 +1,440 @@
-/** Every constant of the system with its unit and its reason (docs/design.md §12). */
+/** Constants of the system. Names carry the unit; a comment gives the reason where one is needed (docs/design.md §12). */
 export const constants = {
-  /** ms. How often every core is given a beat; fine enough that no time-out below is late by a tenth. */
+  /** Interval of the tick that drives every core; fine enough that no timeout below is late by more than a tenth. */
   beatEvery: 50,
-  /** ms. The same in an access process while nothing with a deadline is under way in it, since each beat of an idle process costs. */
+  /** Tick interval of an access process while nothing with a deadline is in progress, because each tick of an idle process costs CPU time. */
   idleBeatEvery: 100,
-  /** ms. A member tells each control machine that it lives; four are lost before a lease runs out. */
+  /** Interval of a node's heartbeats to each control machine; four can be lost before a lease expires. */
   sessionEvery: 300,
-  /** nodes; ms. In a fleet of more nodes heartbeats are sent more seldom, in proportion, up to the most: three within a lease. */
+  /** Above this fleet size the heartbeat interval grows in proportion to the number of nodes, up to the maximum: three per lease. */
   sessionNodes: 40,
   sessionEveryMost: 450,
   /**
-   * part. Two monotonic clocks run at most so much apart. Whoever holds a lease, a permit or a grant ends it sooner by this part
-   * of it, so it is over before whoever gave it takes it as over. Clocks that are disciplined go 0.0005 apart.
+   * Maximum relative drift between two monotonic clocks. The holder of a lease, a permit or a grant ends it earlier by this
+   * fraction, so that it is over before the granter considers it over. Disciplined clocks drift by 0.0005.
    */
   clockRatesApart: 0.01,
-  /** ms. A lease counted by its holder from the moment it asked; under the 2 s that a change may take. */
+  /** Duration of a lease, counted by its holder from the moment of its request; below the 2 s that a change may take. */
   leaseLasts: 1_400,
-  /** ms. A node that stays behind the feed for this long gets no further lease, so it holds up no change (§7.3). */
+  /** A node that lags behind the feed for this long gets no further lease, so that it does not delay changes (docs/design.md §7.3). */
   lagLasts: 500,
-  /** ms. A node that hears control has each change within this after control told of it: the least time in which a deployment may ask for a change to be in force. */
+  /** A node in contact with control receives each change within this time after control reported it: the shortest time in which a deployment may require a change to be in force. */
   feedLagMost: 2_000,
-  /** ms. Without a word from a majority of control for this long, a node counts the group as away (§7.4). */
+  /** A node that receives nothing from a majority of control for this long considers the control group unreachable (docs/design.md §7.4). */
   nearLasts: 1_000,
-  /** ms. A peer's promise to take nothing from control, and so the permit that a majority of promises gives. */
+  /** Duration of a peer's promise to accept nothing from control, and thus of the permit that a majority of promises gives. */
   permitLasts: 1_000,
-  /** ms. An address without a session for this long is no longer counted as part of the fleet: with the session itself (2 s) less than a machine has to come up to date in the place of a lost one (§7.4). */
+  /** An address without a session for this long no longer counts as part of the fleet. Together with the session timeout (2 s) this is shorter than the time in which a replacement machine must be up to date (docs/design.md §7.4). */
   fleetForgets: 2_500,
-  /** ms. How long control remembers an address that had a session, to tell a node that starts there where the group stands (§13.8.4). */
+  /** How long control remembers an address that had a session, to send a node that starts there the state of the control group (docs/design.md §13.8.4). */
   silentNodeRemembered: 30_000,
-  /** ms. A control machine tells silent nodes where the group stands; a node at such an address waits for that at most, beside its session's end. */
+  /** Interval at which a control machine sends the state of the control group to silent nodes; a node at such an address waits at most this long for it, beyond the session timeout. */
   callSilentEvery: 1_000,
-  /** ms. Silence after which a member's session ends; longer than a lease, so a dead one has stopped. */
+  /** Silence after which a member's session ends; longer than a lease, so that a node whose session ended has already stopped serving. */
   sessionLasts: 2_000,
-  /** ms. Control machines greet each other. */
+  /** Interval of heartbeats between control machines. */
   greetEvery: 200,
-  /** ms. Control machines of a large fleet tell each other its registry this often at least: four within the time of a session. */
+  /** Longest interval at which control machines of a large fleet exchange its registry: four exchanges within the session timeout. */
   peerRegistryEveryMost: 500,
-  /** ms. Silence after which a control member is voted out; leaves 10 s of the 12 s for the rest. */
+  /** Silence after which a control member is voted out; leaves 10 s of the 12 s recovery time for the other steps. */
   memberSilence: 1_500,
-  /** ms. A member of the control group repeats to its head how far its lease holders have come, where nothing is new. */
+  /** Interval at which a member of the control group repeats to its head the feed index that its lease holders have reached, while it does not change. */
   coverageRepeatedEvery: 100,
-  /** ms. Pause between two tries to agree, times the rank of the one that tries, so tries seldom collide. */
+  /** Pause between two ballots, multiplied by the rank of the proposer, so that ballots seldom collide. */
   agreeEvery: 400,
-  /** ms. A chain with entries not yet confirmed sends them again after this long without progress. */
+  /** A chain resends entries that are not yet committed after this long without progress. */
   resendAfter: 250,
-  /** ms. A replica that holds up its chain for this long is reported as slow and leaves (§3). */
+  /** A replica that delays its chain for this long is reported as slow and leaves the chain (docs/design.md §3). */
   slowAfter: 2_500,
-  /** ms. Planning of queue placement by the head of the control chain. */
+  /** Interval at which the head of the control chain plans the placement of queues. */
   planEvery: 200,
-  /** ms, ms, megabytes, descriptors, machines. What a deployment must leave at least, and may ask for at most (§13.3). */
+  /** Limits on what a deployment may set: minimum times and resources, and the maximum number of simultaneous losses (docs/design.md §13.3). */
   cancelLeast: 1_000,
   stopLeast: 2_000,
   memoryLeast: 96,
   descriptorsLeast: 256,
   lossesMost: 3,
-  /** items. A pool's queue takes what its passages' own bounds on tokens let through. */
+  /** Capacity of a pool's queue; the passages' own token limits are reached first. */
   poolWaiting: 10_000_000,
-  /** orders. The last ones taken are remembered by their idempotency keys, however old; and at most so many in all. */
+  /** How many accepted operator orders are remembered by their idempotency keys regardless of age, and how many in total. */
   ordersKept: 64,
   ordersKeptMost: 1_024,
-  /** ms. An order taken is remembered for so long: callers repeat a sending for some seconds, whatever other orders come between. */
+  /** How long an accepted order is remembered: callers retry for some seconds, whatever other orders arrive in between. */
   orderRemembered: 60_000,
-  /** ms. A majority of control must have given back a heartbeat sent within this, or a machine acknowledges nothing; five heartbeats. */
+  /** A machine acknowledges nothing unless a majority of control answered a heartbeat sent within this time; five heartbeat intervals. */
   contactLasts: 1_000,
-  /** s. What a caller hears from a control machine without contact: another machine may answer at once. */
+  /** Retry-after time that a control machine without quorum contact returns to callers: another machine may answer at once. */
   contactRetryAfter: 0.2,
-  /** ms. A request passed on to the head is sent again after this, where twice is as good as once. */
+  /** A request forwarded to the head is sent again after this long, where a duplicate does no harm. */
   passAgainEvery: 500,
-  /** copies. Nothing is confirmed on fewer synced copies (design rule). */
+  /** Minimum number of durable copies of an entry before it is committed. */
   copiesLeast: 2,
-  /** copies. What a chain is mended to: any one machine may be lost with its disk. */
+  /** Number of copies to which a chain is repaired: any one machine may be lost together with its disk. */
   copiesWanted: 3,
-  /** records. Size of one piece of a snapshot: below 1 MiB for usual items, so beats pass in between. */
+  /** Records in one piece of a snapshot: below 1 MiB for usual items, so that ticks run between pieces. */
   snapshotPiece: 400,
-  /** pieces. On their way to one that is copied to, until it says that it got one: some MiB, which any link of storage machines carries in a beat or two. */
+  /** Pieces in flight to a replica until it acknowledges one: some MiB, which any link between storage machines carries in one or two ticks. */
   snapshotPiecesOut: 4,
-  /** pieces. Sent to one that is copied to in each beat, so a copy leaves the link and the disk to live work (§1.4). */
+  /** Pieces sent to one replica in each tick, so that a copy leaves link and disk capacity for live work (docs/design.md §1.4). */
   snapshotPiecesEachBeat: 4,
-  /** asks. After so many, four a second, a joiner that never came near the tail holds the chain to its own pace, so that its copy ends. */
+  /** After this many requests, at four a second, a learner that never came close to the tail throttles the chain to its own speed, so that its copy completes. */
   joinerAsks: 8,
-  /** entries. Feed entries kept for nodes that follow; older places get a snapshot instead. */
+  /** Feed entries kept for nodes that follow; a node at an older index gets a snapshot instead. */
   feedKept: 2_000,
-  /** entries. Most entries in one message between chain members. */
+  /** Entries in one message between chain members. */
   entriesInMessage: 200,
-  /** bytes. Entries and pieces of a snapshot end here as well, whatever their number: a lot may weigh a megabyte, and four pieces a beat are 160 Mbit/s. */
+  /** Size at which a message with entries or snapshot records ends regardless of their number: a lot may have a megabyte, and four pieces a tick are 160 Mbit/s. */
   messageWeight: 262_144,
-  /** ms. A grant of a popped prompt not begun by then is given back; keeps cancel within 3 s. */
+  /** A grant of a dequeued prompt that has not begun by then is given back; keeps cancellation within 3 s. */
   grantLasts: 1_000,
-  /** ms. A prompt without a sign of life is taken back. The source has 10 min; lots are due in 8 s. */
+  /** A prompt without a heartbeat for this long is returned to the queue: lots are due in 8 s. */
   orphanAfter: 4_000,
-  /** ms. Dispatchers pass on signs of life; four fit into the orphan time-out. */
+  /** Interval at which dispatchers forward heartbeats; four fit into the orphan timeout. */
   lifeEvery: 1_000,
-  /** gos. Real troubles of a runner after which an item has failed (the source's 3 attempts). */
+  /** Attempts with a runner failure after which an item has failed. */
   troublesMost: 3,
-  /** ms. Pause of a dispatcher after EMPTY (the source's 0.1 s). */
+  /** Pause of a dispatcher after an EMPTY reply. */
   emptyPause: 100,
-  /** ms. Pause of a dispatcher when no wait can be told; a changed limit ends every pause. */
+  /** Pause of a dispatcher when no wait is known; a changed limit ends every pause. */
   pauseMost: 2_000,
-  /** dispatchers. Access nodes that draw from one queue, so the loss of one stops nothing. */
+  /** Access nodes that draw from one queue, so that the loss of one stops nothing. */
   dispatchersPerQueue: 2,
-  /** requests. Prompts that one dispatcher has under way for one queue. */
+  /** Prompts that one dispatcher has in progress for one queue. */
   dispatchWidth: 16,
-  /** ms. How long access waits for a queue's owner before it says "unknown". */
+  /** How long an access node waits for a queue's owner before it answers "unknown". */
   ownerPatience: 4_000,
-  /** ms. How long access looks for an owner again when it surely did not take the request. */
+  /** Delay after which an access node looks for an owner again when the request was certainly not accepted. */
   ownerRetry: 150,
-  /** ms. Connecting to a runner: zones are 1 ms apart. */
+  /** Timeout for connecting to a runner: zones are 1 ms apart. */
   connectPatience: 500,
-  /** ms. A runner that says nothing for this long after a whole request counts as broken off. */
+  /** A runner that sends nothing for this long after a complete request counts as failed. */
   runnerSilence: 30_000,
-  /** ms. The same for a lot's prompt: lots are due in about 8 s. */
+  /** The same for a lot's prompt: lots are due in about 8 s. */
   promptSilence: 10_000,
-  /** part. Of a runner's seats that lots may fill: live goes first (§8.3). */
+  /** Fraction of a runner's slots that lots may fill: live requests go first (docs/design.md §8.3). */
   lotPart: 0.75,
-  /** steps. Pace is cut into so many, and goes up one way only after it held for `paceHolds` ms, so it does not swing. */
+  /** Number of throttle levels. The level rises by one only after it held for the given time, so that it does not oscillate. */
   paceSteps: 8,
   paceHolds: 2_000,
-  /** part. Room that is taken as whole, since loads and counts of lots are told at different moments. */
+  /** Fraction by which free capacity may fall short and still count as complete, because loads and lot counts are reported at different moments. */
   paceSlack: 0.1,
-  /** ms. A load older than this counts as none free. */
+  /** A load report older than this counts as no free slots. */
   loadLasts: 1_700,
-  /** ms. How long a live request turned away for want of a seat, or a lot for want of room, is counted. */
+  /** How long a live request rejected for lack of a slot, or a lot rejected for lack of capacity, is counted. */
   pressureLasts: 2_000,
-  /** ms. A runner not heard of for this long gets no work: under the 2 s that may pass after a deregistration nobody could pass on (§7.5). */
+  /** A runner not heard from for this long gets no work: less than the 2 s that may pass after a deregistration that nobody could forward (docs/design.md §7.5). */
   runnerLasts: 1_800,
-  /** ms. Runners are asked to announce this often, and to turn to another node when one has not answered within. */
+  /** Interval at which runners are asked to announce themselves, and timeout after which they turn to another node. */
   announceEvery: 500,
   announcePatience: 400,
-  /** ms. A process that was not struck by a beat for this long has slept; what it reads in the time after may be as old. */
+  /** A process that got no tick for this long was suspended; messages that it reads in the period after that may be as old. */
   sleptLeast: 400,
   wakingLasts: 200,
-  /** ms. A record of a deregistration is kept this long; a runner's next life has a new incarnation. */
+  /** Retention of the record of a deregistration; the runner's next incarnation has a higher number. */
   deregistrationKept: 3_600_000,
-  /** ms. Default time that an accepted lot has. */
+  /** Default deadline of an accepted lot. */
   lotDeadline: 600_000,
-  /** ms. Added to the time of a lot: an acceptance can be told this much later than it was stamped (§5.5). */
+  /** Added to the deadline of a lot: its acceptance may be acknowledged this much later than it was stamped (docs/design.md §5.5). */
   deadlineGrace: 5_000,
-  /** ms. Results of a finished lot stay readable this long. */
+  /** How long results of a finished lot stay readable. */
   lotKept: 900_000,
-  /** ms. That a lot was there is known this much longer, so a late try runs nothing anew; 2 lots/s are 173 000 records of about 0.1 kB. */
+  /** How much longer the existence of a lot is remembered, so that a late retry runs nothing again; 2 lots/s are 173 000 records of about 0.1 kB. */
   lotForgets: 86_400_000,
-  /** items. Largest lot; twenty is usual. */
+  /** Items of the largest lot; twenty is usual. */
   lotItemsMost: 1_000,
-  /** windows of a recurring season that are looked at for overlaps when it is entered, and that are told of. */
+  /** Windows of a recurring season that are checked for overlaps when it is entered, and that are listed in the reply. */
   windowsChecked: 60,
   windowsTold: 3,
-  /** s. Bounds of histograms: from a message within a zone to the longest patience, and of waits told up to a season's. */
+  /** Histogram bucket bounds: for durations, from a message within a zone to the longest timeout; for returned waits, up to the length of a season. */
   timeBounds: [0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30],
   waitBounds: [0.5, 1, 2, 5, 10, 30, 60, 600, 3_600],
-  /** labels. That one lot brings of its own. */
+  /** Labels that one lot may carry itself. */
   lotLabelsMost: 20,
-  /** bytes. Largest body of a request. */
+  /** Largest body of a request. */
   bodyMost: 1_048_576,
-  /** ms. A caller must have sent headers, and the whole body, within these. */
+  /** A caller must have sent the headers, and the whole body, within these times. */
   headersPatience: 5_000,
   bodyPatience: 10_000,
-  /** ms. An operator's change not confirmed by then is answered "unknown". */
+  /** An operator's change that is not committed by then is answered with "unknown". */
   confirmPatience: 6_000,
-  /** bytes. Largest message between processes; a snapshot piece stays far below. */
+  /** Largest message between processes; a snapshot piece stays far below. */
   messageMost: 33_554_432,
-  /** bytes. Unsent messages kept per member; more are dropped and sent again by the cores. */
+  /** Unsent messages buffered per member; more are dropped, and the cores send them again. */
   wireBacklog: 16_777_216,
-  /** ms. A process acknowledges what it received on a connection at most this often. */
+  /** Shortest interval at which a process acknowledges what it received on a connection. */
   acknowledgeEvery: 500,
-  /** ms. The same among the messages of the connection in the other direction: where these flow, no packet is sent for it alone. */
+  /** The same for acknowledgements that travel with messages in the other direction: while such messages flow, no packet is sent for the acknowledgement alone. */
   crossAcknowledgeEvery: 250,
   /**
-   * ms. A connection on which bytes wait for an acknowledgement and none tells of more for this long has stalled. With the time
-   * between two it is the 2 s after which a session ends, so that a cut that ended a session leaves no connection stalled; and it
-   * is longer than a process usually stands still.
+   * A connection whose unacknowledged bytes make no progress for this long has stalled. Together with the interval of
+   * acknowledgements this is the session timeout of 2 s, so that a network partition that ended a session leaves no connection
+   * stalled; and it is longer than a process is usually suspended.
    */
   acknowledgementPatience: 1_500,
-  /** hellos. After so many in a row without an answer a process is taken for one of a release that gives none. */
+  /** After this many unanswered hello messages in a row, a process is considered to run a release that does not answer them. */
   unansweredHellos: 3,
-  /** ms. Pause before a lost connection between processes is made again. */
+  /** Pause before a lost connection between processes is opened again. */
   reconnectAfter: 150,
-  /** mark. Of the messages between processes and of the data folder. */
+  /** Format versions of the messages between processes and of the data folder. */
   wireMark: 1,
   diskMark: 1,
-  /** marks. The oldest still understood: a fleet may run two adjacent ones during a release (§10.6). */
+  /** Oldest versions that are still supported: a fleet may run two adjacent versions during a release (docs/design.md §10.6). */
   wireMarkOldest: 1,
   diskMarkOldest: 1,
-  /** bytes. A data folder's file is kept this much longer than what is used, half of it at least; a transaction takes far less. */
+  /** Preallocation of a data folder's file beyond the used part, at least half of it at any time; a transaction needs far less. */
   diskAhead: 8_388_608,
-  /** ms. A commit that takes this long is taken for a stalled disk: seven times a slow one of 150 ms, and under the 2 s of a change. */
+  /** A commit that takes this long counts as a stalled disk: seven times a slow commit of 150 ms, and below the 2 s of a change. */
   diskStallAfter: 1_000,
-  /** ms. Pause before a failed commit is tried again: it doubles up to the most, and starts anew once the disk has worked for `diskSettles`. */
+  /** Pause before a failed commit is retried: it doubles up to the maximum, and starts from the minimum once the disk has worked for the settling time. */
   diskRetryLeast: 100,
   diskRetryMost: 2_000,
   diskSettles: 5_000,
-  /** ms. A storage machine that stops as planned waits this long for its queues to go on without it. */
+  /** A storage machine in a planned stop waits this long for its queues to move to other owners. */
   handOverPatience: 4_000,
-  /** ms. A planned stop finishes streams within this bound. */
+  /** A planned stop finishes streams within this time. */
   drainPatience: 10_000,
-  /** runners tried for one live request before it is told to try later; a refusal costs 1 to 2 ms. */
+  /** Runners tried for one live request before the caller is asked to retry later; a refusal costs 1 to 2 ms. */
   runnersTried: 10,
-  /** runners of those that look full, in one live request: more would multiply a flood past capacity. */
+  /** Runners tried in one live request although they look full: more would multiply a flood of requests beyond capacity. */
   fullTried: 2,
-  /** s. What "try later" says when no exact wait is known. */
+  /** Retry-after time when no exact wait is known. */
   retryAfter: 1,
-  /** bytes. Results of a lot told at once; callers are promised 1 MB at most, and JSON adds its marks. */
+  /** Results of a lot returned in one reply; callers are promised 1 MB at most, and JSON adds its punctuation. */
   resultsMost: 900_000,
-  /** prompts. Taken with one draw of a pool's queue: one entry for all, yet no dispatcher empties a queue that others could help with. */
+  /** Items dequeued from a pool's queue at once: one log entry for all of them, yet no dispatcher empties a queue that others could help with. */
   drawMost: 8,
-  /** ms. Usual time from the draw of an item to the telling of its result: one drawn later than so long before it is due is late. */
+  /** Usual time from the dequeue of an item to the delivery of its result: an item dequeued later than this before its deadline is late. */
   runUsual: 1_500,
-  /** part. Of the time of keeping, in which late items let others pass; then they are first again, since nothing is worth less than given up. */
+  /** Fraction of the retention time in which late items yield to others; after it they go first again, because an item that is given up has no value at all. */
   yieldPart: 0.6,
-  /** ms. Rest of an item whose runs broke twice on end without an event; doubled with each further one, up to the most. */
+  /** Delay of an item whose runs broke off twice in a row without an event; doubled with each further failure, up to the maximum. */
   restFirst: 200,
   restMost: 2_000,
-  /** ms. Dispatchers of items pass on signs of life; a claim without one is taken back, so that lots due in 8 s are not late for one dead node. */
+  /** Dispatchers of items forward heartbeats; a claim without one is revoked, so that one failed node does not delay lots that are due in 8 s. */
   taskLifeEvery: 500,
   taskOrphanAfter: 2_500,
-  /** ms. A claim that nobody took up within its grant's time and the way to here is taken back. */
+  /** A claim that nobody started within the duration of its grant and the network delay is revoked. */
   claimTakenUp: 1_300,
-  /** ms. A draw from an empty queue is held at the owner so long: nothing waits for a pause to end, and idle nodes ask seldom. */
+  /** The owner holds a draw from an empty queue for this long (long polling): new items don't wait for a pause to end, and idle nodes send few requests. */
   drawHold: 500,
-  /** ms. A passage missing from the configuration for so long takes its items with it. */
+  /** A passage missing from the configuration for this long is removed together with its items. */
   passageGone: 2_000,
-  /** rank. Of items in a runner's own queue: live goes first (§8.3). */
+  /** Rank of lot items in a runner's own queue: live requests go first (docs/design.md §8.3). */
   itemRank: 9,
-  /** ms. How long a hand-in looks for its owner: half of what its callers usually wait, so that they can turn to another node. */
+  /** How long a submission looks for its queue's owner: half the usual timeout of its callers, so that they can turn to another node. */
   handInPatience: 2_000,
-  /** ms. That a hand-in was refused for good is known this long: no message between processes is held up longer. */
+  /** How long a permanently rejected submission is remembered: no message between processes is delayed longer. */
   turnedLasts: 60_000,
-  /** ms. Over which the owner of a queue counts what leaves it, for the wait that it tells; lots refused that it remembers. */
+  /** Period over which the owner of a queue counts dequeued items to estimate the wait, and the number of rejected lots that it remembers. */
   drainCounted: 3_000,
   refusedRemembered: 5_000,
-  /** ms. How long a read of a lot looks for its owner, beyond the time it may be held; callers wait 1.5 s more than they allow. */
+  /** How long a read of a lot looks for its owner, beyond the time it may be held; callers wait 1.5 s longer than they allow. */
   readPatience: 1_200,
-  /** lots. Whose queue an access node remembers, so that reads ask one owner. */
+  /** Lots whose queue an access node remembers, so that reads go to one owner. */
   lotsRemembered: 20_000,
-  /** bytes. Largest result of a fetch or of a one-shot request: it is told whole or not at all. */
+  /** Largest result of a fetch or of a one-shot request: it is returned complete or not at all. */
   resultMost: 16_777_216,
-  /** bytes. Largest body and largest head of a request on a passage, where the deployment tells no smaller ones. */
+  /** Largest body and largest head of a request on a passage, unless the deployment sets smaller ones. */
   passBodyMost: 16_777_216,
   passHeadersMost: 65_536,
-  /** ms. After the word that a node is not ready, callers may still be sent to it for so long: two missed looks a second apart, and their way. */
+  /** Callers may still be routed to a node for this long after it reported that it is not ready: two missed probes a second apart, and the network delay. */
   unreadyLasts: 2_500,
-  /** part of a planned stop in which requests are taken at most: the rest of it is for their answers. */
+  /** Fraction of a planned stop in which requests are still accepted; the rest is for their replies. */
   stopTakesPart: 0.35,
-  /** ms. Requests are refused for so long at least before the process closes: a look that was late, or lost, sends callers here a second longer. */
+  /** Minimum time for which requests are rejected before the process closes: a late or lost probe sends callers here for another second. */
   refusesLeast: 1_000,
-  /** ms. So long before the end of a planned stop the rest gets its last answers: a killed process answers nobody, and a busy one is late. */
+  /** Time before the end of a planned stop at which the remaining requests get their final replies: a killed process answers nobody, and a busy one is late. */
   lastAnswersBefore: 900,
-  /** ms. So long before the end of a planned stop the process closes whatever is open. */
+  /** Time before the end of a planned stop at which the process closes whatever is open. */
   closeBefore: 600,
-  /** ms. Last answers are handed to the network within this. */
+  /** Final replies are passed to the network within this time. */
   answersWrittenWithin: 200,
-  /** ms. A control machine that ends waits so long for the orders that it has taken. */
+  /** A control machine that stops waits this long for the orders that it accepted. */
   ordersAnsweredWithin: 1_000,
-  /** ms. From the first byte of a request on a passage to the end of its headers, where the deployment tells no other. */
+  /** Time from the first byte of a request on a passage to the end of its headers, unless the deployment sets another. */
   passHeaderWait: 10_000,
-  /** ms. A caller's connection to a passage may stay idle this long, where the deployment tells no other. */
+  /** Idle timeout of a caller's connection to a passage, unless the deployment sets another. */
   passIdle: 14_000,
-  /** ms. A caller's connection is kept so much longer than it is told: a request may be on its way when the time ends. */
+  /** A caller's connection is kept this much longer than announced: a request may be in flight when the time ends. */
   idleMarginHere: 900,
-  /** bytes. Largest request line beside the headers. */
+  /** Largest request line, not counted with the headers. */
   requestLineMost: 8_192,
-  /** ms. How often callers that are too slow are looked for. */
+  /** Interval at which callers that are too slow are looked for. */
   slowCheckEvery: 250,
-  /** requests. Live requests under way in one access node; more are told to try later. */
+  /** Live requests in progress in one access node; callers beyond that are asked to retry later. */
   liveMost: 600,
-  /** ms. Taken off the time that a runner may keep a connection idle, so that none is used while it is being closed (§13.6). */
+  /** Subtracted from the time for which a runner keeps an idle connection, so that no connection is used while it is being closed (docs/design.md §13.6). */
   idleMargin: 150,
-  /** ms. A kept connection whose runner tells no time: used again within this, and for what may be repeated within three times as long. */
+  /** Idle time of a connection whose runner announces none: it is reused within this time, and for repeatable requests within three times as long. */
   idleUntold: 500,
-  /** ms. From the look at a work to its first byte: usually one turn of the event loop; longer, this process has stood still. */
+  /** Time from the check of a request to its first byte, usually one turn of the event loop; a longer delay means that this process was suspended. */
   sendWithin: 100,
-  /** ids of works that a connection to a runner remembers: an answer too many is as old as that at most. */
+  /** Request ids that a connection to a runner remembers: a surplus reply refers to a request at most this many requests ago. */
   idsOfConnection: 32,
-  /** ms. A work past its end whose link still says nothing is broken off this much later. */
+  /** A request past its deadline whose connection still reports nothing is aborted this much later. */
   overdueGrace: 400,
-  /** bytes. A result that is no stream is told to the caller once whole, up to this size; a larger one as it comes. */
+  /** A result that is not streamed is sent to the caller once it is complete, up to this size; a larger one as it arrives. */
   wholeMost: 65_536,
-  /** part of the aim within which a request without a runner is turned away, so that its caller comes back in time (§13.5). */
+  /** Fraction of the latency target within which a request without a runner is rejected, so that its caller retries in time (docs/design.md §13.5). */
   waitPart: 0.2,
-  /** ms. The same where a passage tells no aim. */
+  /** The same where a passage sets no target. */
   waitUntold: 50,
-  /** ms. Less than this left is not worth a runner's work. */
+  /** A request with less time left than this is not sent to a runner. */
   worthLeast: 15,
-  /** gos that never went out, after which a request is turned away. */
+  /** Attempts that were never sent, after which a request is rejected. */
   unsentMost: 4,
-  /** ms without a sign of a go, after which what may be repeated leaves a runner that gives none on anything. */
+  /** Time without a response to an attempt after which a repeatable request leaves a runner that responds to nothing at all. */
   rescueAfter: 400,
-  /** ms. The same for an item of a lot: its runner may be reading long prompts, and a run that is broken off is paid for. */
+  /** The same for an item of a lot: its runner may be reading long prompts, and an aborted run is charged. */
   itemStalledAfter: 2_000,
-  /** ms. Connecting for a passage: a few ms within a region; what was not sent can go elsewhere. */
+  /** Timeout for connecting for a passage: connecting takes a few ms within a region, and an unsent request can go elsewhere. */
   passPatience: 200,
-  /** bytes for each Megabyte of a process that bodies of live requests may take together: a fifth. */
+  /** Bytes that the bodies of live requests may take together for each megabyte of the process: a fifth. */
   bodiesPart: 200_000,
-  /** s. What a caller turned away for want of a seat is told, where the runner tells nothing shorter. */
+  /** Retry-after time of a caller rejected for lack of a slot, where the runner states none that is shorter. */
   seatAfter: 0.15,
-  /** s. The same while no runner is known, as just after a start: runners report about once a second. */
+  /** The same while no runner is known, as just after a start: runners report about once a second. */
   knownAfter: 0.35,
-  /** ms. Runners, loads and nodes are read anew this often for the choice of a runner; a beat is 50. */
+  /** Interval at which runners, loads and nodes are read again for the choice of a runner; a tick takes 50 ms. */
   lookEvery: 25,
-  /** runners for which the pause between looks is as much longer again; and the longest, ms: what others tell is as old. */
+  /** Number of runners for which the interval between observations grows by its own length, and the longest interval: reports of other nodes are as old as that. */
   lookRunners: 100,
   lookMost: 250,
-  /** seats, as a part of those of a runner, that work may be sent for: beyond its own it queues a few. */
+  /** Multiple of a runner's slots up to which work may be sent to it: a runner queues a few requests beyond its slots. */
   seatsMost: 1.5,
-  /** tokens/ms. Prompts are read about so fast. */
+  /** Assumed reading speed of prompts. */
   tokensRead: 150,
-  /** pairs/ms. Of the tokens read with all those before them: what makes a prompt of 40 000 take half a second. */
+  /** Assumed speed for the pairs of each token read with all those before it: it makes a prompt of 40 000 tokens take half a second. */
   pairsRead: 5_400_000,
-  /** tokens. A prompt of this size holds up the streams beside it for longer than a piece of it takes. */
+  /** A prompt of this size delays the streams beside it for longer than the reading of one of its chunks takes. */
   longLeast: 3_000,
-  /** ms. What it costs to send a long prompt to a runner for short ones, where it would hold up every stream, the other way round, and an item. */
+  /** Cost of sending a long prompt to a runner for short ones, where it would delay every stream; of the opposite case; and of an item. */
   longAway: 600,
   shortAway: 25,
   itemAway: 10,
-  /** part of the seats up to which items go to a runner: live work is let in before them and puts them back; less where short live work goes. */
+  /** Fraction of the slots up to which items are sent to a runner: live requests are admitted before them and displace them; less where short live requests run. */
   itemPart: 1,
   itemPartShort: 0.8,
-  /** runners of a pool from which it is divided, the part at least for long prompts, and the part of the seats that short live work fills. */
+  /** Number of runners from which a pool is divided between long and short prompts, minimum fraction for long prompts, and fraction of the slots that short live requests fill. */
   divideLeast: 4,
   longPart: 0.45,
   shortFill: 0.7,
-  /** runners that may be missing, or too many, for short live work before their number changes; and their part at least. */
+  /** Number of runners that short live requests may lack, or have in surplus, before their number changes; and the minimum fraction for them. */
   divideOver: 0.4,
   divideUnder: 1.8,
   shortPart: 0.25,
-  /** ms. Smoothing of what short live work takes, up and down, and of this node's long prompts; without any for so long nothing is divided. */
+  /** Smoothing times of the load of short live requests, rising and falling, and of this node's long prompts; without long prompts for the last of these times the pool is not divided. */
   levelUp: 1_000,
   levelDown: 4_000,
   longSmooth: 5_000,
   longLasts: 10_000,
-  /** ms. To the first sign of work beside the reading; what each work beside it adds; a whole round of seats that must first come free. */
+  /** Time to the first output of a request apart from the reading of its prompt; what each request beside it adds; and the time for a whole round of slots that must first become free. */
   firstLeast: 20,
   besidePrice: 1,
   seatWait: 400,
-  /** The same for work that tells no tokens, in times of its usual; and that usual before any was seen, ms. */
+  /** The same for requests without token counts, as a multiple of their usual duration; and that duration before any was observed. */
   queueWeight: 6,
   usualFirst: 30,
-  /** part by which a price is varied by chance: spread against herds of nodes that see the same. */
+  /** Fraction by which a cost is varied at random, so that nodes with the same observations don't all choose the same runner. */
   choiceJitter: 0.1,
-  /** ms. What another zone costs, and a runner in trouble. */
+  /** Cost of a runner in another zone, and of one that is being avoided after a failure. */
   otherZone: 3,
   shyPrice: 2_000,
-  /** part of an item's seat that live work counts as taken: items give way to it at the runner. */
+  /** Fraction of an item's slot that counts as occupied for live requests: items yield to them at the runner. */
   itemWeight: 0.25,
-  /** part of its own live work at a runner that a node takes every other node to have there. */
+  /** Fraction of its own live requests at a runner that a node assumes every other node to have there. */
   alikePart: 0.5,
-  /** part of a new sight of a runner's speed that is believed. */
+  /** Weight of a new observation of a runner's speed. */
   learnPart: 0.1,
-  /** ms. For how long, and of how many, it is remembered where shared parts were read. */
+  /** How long, and for how many prompt prefixes, it is remembered which runner has read them. */
   partsKept: 10_000,
   partsMost: 4_000,
-  /** ms. A runner with work of this node that gives no sign for this long, beside its reading, is passed by. */
+  /** A runner that has requests of this node and sends nothing for this long, apart from reading prompts, is skipped. */
   quietLeast: 250,
-  /** ms. The same for a runner of models: it may be reading a long prompt of another node, for half a second. */
+  /** The same for a runner of models: it may be reading a long prompt of another node, for half a second. */
   quietReading: 700,
-  /** ms. A runner that refused, or that broke or was not reached, is passed by; twice as long with each trouble in a row. */
+  /** A runner that refused a request, or that failed or was unreachable, is avoided for these times; twice as long with each failure in a row. */
   shyRefused: 40,
   shyBroken: 150,
   shyMost: 1_500,
-  /** connections to one runner: where its pool tells no limit, and the part of the limit that is used. */
+  /** Connections to one runner where its pool sets no limit, and the fraction of a limit that is used. */
   connectionsUntold: 64,
   connectionsPart: 0.9,
-  /** acts. Decided and not taken by the platform yet, of one subject; the oldest are given up beyond. */
+  /** Acts of one subject that are decided and not yet accepted by the platform; beyond that the oldest are given up. */
   openActsMost: 512,
-  /** ranges. Numbers of acts that are done, of one subject; gaps between the oldest are closed beyond. */
+  /** Ranges of numbers of completed acts of one subject; beyond that the gaps between the oldest are closed. */
   finishedRangesMost: 512,
-  /** ms. Pauses after a call to the platform that failed: at least, the first at most, and at most after many. */
+  /** Pause after a failed call to the platform: the minimum, the maximum after the first failure, and the maximum after many. */
   dutyPauseLeast: 50,
   dutyPauseFirst: 250,
   dutyPauseMost: 3_000,
-  /** ms. The platform has seen a higher fence: the record may be behind. */
+  /** Pause after the platform reported a higher fence number: the local record may be outdated. */
   dutyOutdatedPause: 1_000,
-  /** ms. An answer of the platform is waited for; twice as long after each call without one. */
+  /** Timeout of a call to the platform; doubled after each call without a reply, up to the maximum. */
   dutyCallPatience: 3_000,
   dutyCallPatienceMost: 12_000,
-  /** calls in a row without an answer, and leases. After so many a machine leaves the platform to the others for so long. */
+  /** After this many calls in a row without a reply, a machine leaves the platform to the other machines for this number of leases. */
   dutyTriesUntilYield: 2,
   dutyYieldLeases: 2,
-  /** ms. Machines that would take an act over follow each other. */
+  /** Delay between the machines that would take over an act. */
   takeoverStagger: 250,
-  /** part of the calls that the platform takes, for all control machines together. */
+  /** Fraction of the platform's call rate that all control machines together use. */
   dutyCallsPart: 0.5,
-  /** windows. Reports of usage that one machine holds due at once; older ones are made only if they were decided. */
+  /** Usage reports that one machine considers due at once; older ones are made only if they were decided. */
   usageWindowsMost: 120,
-  /** leases. An order of scaling that nobody has made for so long is made by any machine. */
+  /** Any machine may carry out a scaling order that nobody has carried out for this number of leases. */
   scalingTakeoverLeases: 2,
-  /** ms. The number of runners is worked out anew this often. */
+  /** Interval at which the desired number of runners is computed. */
   scalingPlanEvery: 500,
-  /** times as long as usual that a runner is known by a node cut off from control: cuts last some 5 s. */
+  /** Factor on the usual retention for which a node cut off from control keeps a runner: partitions last some 5 s. */
   aloneTimes: 6,
-  /** ms. A wall clock told this much ago says nothing any more: five heartbeats. */
+  /** A wall clock reported this long ago is ignored: five heartbeat intervals. */
   toldClockLasts: 3_000,
-  /** ms. A clock told in a message that may have been longer on its way is not read: a window of usage is 5 s and its error 0.05. */
+  /** A clock reported in a message that may have been in transit for longer is ignored: a window of usage is 5 s, and its error may be 0.05 s. */
   toldClockLateMost: 300,
-  /** clocks. With fewer, one that was stepped could be the median. */
+  /** With fewer clocks, one that was stepped could be the median. */
   clocksLeast: 3,
-  /** ms. A control machine that comes back claims no duty for so long: nodes tell it their counts with their next heartbeats. */
+  /** A restarted control machine claims no duty for this long: nodes send it their counts with their next heartbeats. */
   dutySettles: 1_000,
-  /** ms. What a process waits after its start for so many clocks before it goes by fewer. */
+  /** How long a process waits after its start for the minimum number of clocks before it uses fewer. */
   clocksAwaited: 3_000,
-  /** ms. What was agreed stands so long without enough clocks: monotonic clocks go apart by some 60 ms in it. */
+  /** How long the agreed offset remains valid without enough clocks: monotonic clocks drift by some 60 ms in it. */
   agreedTimeStands: 600_000,
-  /** ms. Agreed time waits rather than go back by so much; clocks are stepped by seconds. */
+  /** Largest backward correction for which agreed time stands still instead of going back; clocks are stepped by seconds. */
   agreedTimeWaits: 5_000,
-  /** ms. Counts of usage are told this often at least while there are new ones; with the beat before it they are under 0.5 s old. */
+  /** Longest interval of reports of new usage counts; together with the tick before a report, counts are less than 0.5 s old. */
   usageTellEvery: 350,
-  /** ms. Counts of a window are kept so long at the node that counted, for control machines that restart, and at control. */
+  /** Retention of the counts of a window at the node that counted them, for control machines that restart, and at control. */
   usageKept: 60_000,
   usageLedgerKept: 120_000,
-  /** counts. Told in one message. */
+  /** Counts in one message. */
   usageCountsMost: 2_000,
-  /** part of the seats of a pool's runners that its work is to take; above it streams slow each other down. */
+  /** Target utilization of the slots of a pool's runners; above it streams slow each other down. */
   scalingFill: 0.8,
-  /** times. Live work grows by so much over its usual in a burst, before runners ordered for it serve; and while it grows. */
+  /** Factors by which live load exceeds its usual level in a burst, before ordered runners serve; and while it grows. */
   scalingBurst: 1.7,
   scalingGrowth: 1.15,
-  /** ms. Smoothing of live work up and down, and of what is usual: lots come in heaps that fill whatever is free. */
+  /** Smoothing times of live load, rising and falling, and of its usual level: lots arrive in batches that fill whatever is free. */
   scalingLiveUp: 1_000,
   scalingLiveDown: 8_000,
   scalingUsual: 30_000,
-  /** part of the seats, ms and times. Work that takes nearly all seats for so long waits for more: so many more runners are needed. */
+  /** Slot utilization that, when it lasts for the given time, shows a backlog; and the factor by which the number of runners then grows. */
   scalingFull: 0.95,
   scalingFullAfter: 3_000,
   scalingFullGrowth: 1.25,
-  /** ms. Nothing is ordered before a planner has seen this much: runners that it has not heard of yet would be ended. */
+  /** A planner orders nothing before it has observed the fleet for this long: runners that it does not know yet would be stopped. */
   scalingSettles: 5_000,
-  /** ms and boots. Fewer runners are ordered once fewer were enough for so long, then one at a time. */
+  /** Fewer runners are ordered once fewer were enough for this time or this number of boot times, whichever is longer; then one at a time, at the given interval. */
   scalingLowerAfter: 16_000,
   scalingLowerBoots: 4,
   scalingLowerEvery: 2_000,
-  /** part of the runners that must be missing before more are ordered, and too many before one is given up: no swing about a border. */
+  /** Fraction of the runners that must be lacking before more are ordered, and in surplus before one is stopped, so that the number does not oscillate around a threshold. */
   scalingMissing: 0.04,
   scalingSpare: 0.1,
-  /** part of the access nodes heard at most, below which work is not known well enough to order fewer. */
+  /** Fraction of the highest number of reporting access nodes below which the load is not known well enough to order fewer runners. */
   scalingHeard: 0.8,
-  /** part of a zone's runners; where more are lost, new ones are ordered in other zones. */
+  /** Fraction of a zone's runners; when more of them are lost, new ones are ordered in other zones. */
   scalingZoneLost: 0.25,
-  /** ms. Runners that don't serve so long after their boot are taken for lost. */
+  /** Runners that don't serve within this time after their boot time count as lost. */
   scalingBootLate: 2_000,
 } as const;
--- a/packages/parts/src/control-peers.ts
+++ b/packages/parts/src/control-peers.ts
@@ -1,32 +1,33 @@
-/** Control machines as this one hears them: who is there, at which address, and who hears whom (docs/design.md §2.3). */
+/** Control machines as one of them observes them: identity, address, and who receives whose heartbeats (docs/design.md §2.3). */
 import type { ChainView, Member } from "./chain.js";
 import { constants } from "./constants.js";
 import type { Greeting } from "./view-messages.js";
 
-/** What the newest greeting of a control machine told. */
+/** State of a control machine by its newest heartbeat. */
 export interface ControlPeer {
   readonly member: Member;
   readonly heardAt: number;
   readonly view: ChainView | undefined;
   readonly founding: readonly Member[] | undefined;
+  /** Epoch of the newest view whose entries the machine has copied completely. */
   readonly copiedMark: number;
-  /** About to stop as planned: the view goes on without it at once (§8.6). */
+  /** Set during a planned stop: the view changes to exclude the machine at once (docs/design.md §8.6). */
   readonly leaving: boolean;
-  /** Whom it hears itself; an earlier release, or one that woke up just now, does not say. */
+  /** Identities whose heartbeats it receives; undefined from an earlier release, or from a machine that has just resumed. */
   readonly hears: readonly string[] | undefined;
 }
 
-/** Silences, in `memberSilence`, after which a peer is forgotten. */
-const SILENCES_KEPT = 8;
-/** Greetings in a row that one who joins may miss. */
-const GREETINGS_MISSED_BY_JOINER = 3;
+/** A peer is removed after this many times the silence that ends its membership. */
+const RETENTION_SILENCES = 8;
+/** Heartbeats in a row that a machine may miss and still be a candidate to join. */
+const MAX_MISSED_HEARTBEATS_OF_CANDIDATE = 3;
 
-/** The table of peers of one control machine. */
+/** The peers of one control machine. */
 export class ControlPeers {
   #self: Member;
   #peers = new Map<string, ControlPeer>();
-  /** Since when another identity stands at the address of this one. */
-  #retired = new Map<string, number>();
+  /** When each identity was replaced by another one at its address. */
+  #replacedAt = new Map<string, number>();
 
   constructor(self: Member) {
     this.#self = self;
@@ -40,16 +41,17 @@
     return this.#peers.values();
   }
 
-  /** Takes a greeting; false where it is this machine's own, or of a life that is over. */
+  /** Records a heartbeat; returns false where it is this machine's own, or of an identity that was replaced at its address. */
   greeted(message: Greeting, now: number): boolean {
     const { member } = message;
     const { identity } = member;
     if (identity === this.#self.identity) return false;
-    /** Of two at one address the one that goes on greeting lives; a greeting of the other may have lain here unread. */
-    const retiredAt = this.#retired.get(identity) ?? Number.NEGATIVE_INFINITY;
-    if (now - retiredAt <= constants.memberSilence) return false;
-    this.#retired.delete(identity);
-    this.#retireOthersAt(member, now);
+    // Of two identities at one address the one that keeps sending heartbeats is alive; a heartbeat of the other may have
+    // been buffered here.
+    const replacedAt = this.#replacedAt.get(identity) ?? Number.NEGATIVE_INFINITY;
+    if (now - replacedAt <= constants.memberSilence) return false;
+    this.#replacedAt.delete(identity);
+    this.#replaceOthersAt(member, now);
     this.#peers.set(identity, {
       member,
       heardAt: now,
@@ -62,21 +64,22 @@
     return true;
   }
 
-  #retireOthersAt({ identity, address }: Member, now: number): void {
+  #replaceOthersAt({ identity, address }: Member, now: number): void {
     for (const [other, { member }] of this.#peers) {
       if (other === identity || member.address !== address) continue;
-      this.#retired.set(other, now);
+      this.#replacedAt.set(other, now);
       this.#peers.delete(other);
     }
   }
 
-  /** Forgets peers that have been silent for long. */
+  /** Removes peers that have been silent for long. */
   forget(now: number): void {
     for (const [identity, { heardAt }] of this.#peers)
-      if (now - heardAt > constants.memberSilence * SILENCES_KEPT) this.#peers.delete(identity);
+      if (now - heardAt > constants.memberSilence * RETENTION_SILENCES)
+        this.#peers.delete(identity);
   }
 
-  /** One that does not hear a machine counts as silent to it, or a way cut in one direction would hold the chain up for ever (§2.3). */
+  /** Whether heartbeats pass in both directions. A peer that does not receive those of this machine counts as silent, or a one-way partition would block the chain forever (docs/design.md §2.3). */
   heardWithin(identity: string, within: number, now: number): boolean {
     if (identity === this.#self.identity) return true;
     const peer = this.#peers.get(identity);
@@ -84,7 +87,7 @@
     return peer.hears === undefined || peer.hears.includes(this.#self.identity);
   }
 
-  /** Those of some members that are heard. */
+  /** Those of the members that are in contact. */
   alive(members: readonly Member[], now: number): Member[] {
     const found: Member[] = [];
     for (const member of members)
@@ -92,17 +95,17 @@
     return found;
   }
 
-  /** Who stands at an address now. */
+  /** The peer that currently uses an address. */
   at(address: string, now: number): ControlPeer | undefined {
     for (const peer of this.#peers.values()) {
       const { identity } = peer.member;
-      if (peer.member.address !== address || this.#retired.has(identity)) continue;
+      if (peer.member.address !== address || this.#replacedAt.has(identity)) continue;
       if (now - peer.heardAt <= constants.memberSilence) return peer;
     }
     return undefined;
   }
 
-  /** Identities heard lately, as told in this machine's own greetings. */
+  /** Identities with a recent heartbeat, as reported in this machine's own heartbeats. */
   heardLately(now: number): string[] {
     const found: string[] = [];
     for (const [identity, { heardAt }] of this.#peers)
@@ -110,18 +113,19 @@
     return found;
   }
 
-  /** Peers that could be taken into the view. */
+  /** Peers that could join the view. */
   joinable(now: number): ControlPeer[] {
-    const longest = constants.greetEvery * GREETINGS_MISSED_BY_JOINER;
+    const maxSilence = constants.greetEvery * MAX_MISSED_HEARTBEATS_OF_CANDIDATE;
     const found: ControlPeer[] = [];
     for (const peer of this.#peers.values()) {
-      const isHeard = now - peer.heardAt < longest;
-      if (isHeard && !peer.leaving && !this.#retired.has(peer.member.identity)) found.push(peer);
+      const isInContact = now - peer.heardAt < maxSilence;
+      if (isInContact && !peer.leaving && !this.#replacedAt.has(peer.member.identity))
+        found.push(peer);
     }
     return found;
   }
 
-  /** One that some member does not hear would be voted out again as soon as it is in. */
+  /** Whether every live member receives heartbeats of an identity; otherwise it would be voted out as soon as it joined. */
   isHeardByAll(identity: string, { members }: ChainView, now: number): boolean {
     for (const member of this.alive(members, now))
       if (this.#peers.get(member.identity)?.hears?.includes(identity) === false) return false;
--- a/packages/parts/src/duty-bounds.ts
+++ b/packages/parts/src/duty-bounds.ts
@@ -1,24 +1,24 @@
-/** What a deployment tells of the duties at its platform; all times in ms (docs/design.md §14). */
+/** Bounds of a deployment for duties, the calls to its platform; all times in ms (docs/design.md §14). */
 export interface DutyBounds {
-  /** The duties that are asked for; where there is none, nothing is claimed. */
+  /** Enabled duties; without any, no machine claims one. */
   readonly kinds: readonly ("usage" | "scaling")[];
-  /** Calls a second that the platform takes of all machines together. */
+  /** Calls per second that the platform accepts from all machines together. */
   readonly callsPerSecond: number;
-  /** Holders of a subject never change to and fro within this. */
+  /** Duration of a lease on a subject; its holder does not change within it. */
   readonly lease: number;
-  /** What a process that freezes between its last look at the clock and the send may be late without harm. */
+  /** Tolerated delay of a process that is suspended between its last clock check and the send. */
   readonly thawSlack: number;
-  /** Length of a window of usage, and what time after its end its report is due. */
+  /** Length of a usage window, and the time after its end at which its report is due. */
   readonly window: number;
   readonly reportWithin: number;
 }
 
-/** The most that the first byte of a call may go out after its round was asked for. */
-const freshMost = 1_000;
+/** Maximum time from the request of a round to the first byte of its call. */
+const MAX_ROUND_VALIDITY_MS = 1_000;
 
-/** Time that a round counts from when it was asked for: far less than the lease, so the next holder's round comes after the call. */
+/** Validity of a round in ms from its request: far shorter than the lease, so that the next holder's round follows the call. */
 function freshFor({ lease, thawSlack }: DutyBounds): number {
-  return Math.min(freshMost, (lease - thawSlack) / 3);
+  return Math.min(MAX_ROUND_VALIDITY_MS, (lease - thawSlack) / 3);
 }
 
 export const dutyBounds = { freshFor };
--- a/packages/parts/src/policy.ts
+++ b/packages/parts/src/policy.ts
@@ -1,62 +1,63 @@
+/** Bounds that a deployment requires, and the policy that is derived from them (docs/design.md §13.3). */
 import { constants } from "./constants.js";
 import { outcome, type Outcome } from "./outcome.js";
 
-/** What a deployment tells of itself; all times in ms (docs/design.md §13.3). */
+/** Bounds required by a deployment; all times in ms. */
 export interface Bounds {
-  /** Runners report this often. */
+  /** Interval of the reports of runners. */
   readonly reportsEvery: number;
-  /** A node that was in touch with control for this long is bound by what control confirmed. */
+  /** A node in contact with control for this long must follow what control committed. */
   readonly contactWithin: number;
-  /** An order of an operator is told as confirmed within this. */
+  /** An operator's order is acknowledged as committed within this time. */
   readonly acknowledgeWithin: number;
-  /** After the telling of a deregistration no new work reaches the runner later than this. */
+  /** Time after the acknowledgement of a deregistration within which new work may still reach the runner. */
   readonly drainWithin: number;
-  /** After the telling of a change nothing is done as only an older one allows later than this. */
+  /** Time after the acknowledgement of a change within which an older configuration may still take effect. */
   readonly applyWithin: number;
-  /** After the telling of the end of a lot no item of it begins later than this. */
+  /** Time after the acknowledgement of a lot's cancellation within which an item of it may still begin. */
   readonly cancelWithin: number;
-  /** A planned stop ends within this. */
+  /** A planned stop ends within this time. */
   readonly stopWithin: number;
-  /** A machine that is back counts as lost for this long, in which it is to be brought up to date. */
+  /** A machine that returns counts as lost for this long, in which it must catch up. */
   readonly syncWithin: number;
-  /** After the loss of everything at once, work is served again within this. */
+  /** Service resumes within this time after a simultaneous failure of all machines. */
   readonly recoverWithin: number;
-  /** What may be lost at once, disks included. */
+  /** Simultaneous losses to tolerate, disks included. */
   readonly losses: { readonly machines: number; readonly zones: number; readonly regions: number };
-  /** Megabytes of memory of this process, descriptors, and megabytes of its disk, 0 for none. */
+  /** Megabytes of memory of this process, its file descriptors, and megabytes of its disk (0: none). */
   readonly memory: number;
   readonly descriptors: number;
   readonly disk: number;
-  /** Live work goes on at a node out of touch, by what it knows. */
+  /** A node without contact to control continues to serve live requests by its last known state. */
   readonly goesOnAlone: boolean;
-  /** Usage is reported for windows of this length; none is counted where it is left out (§14.2). */
+  /** Length of the windows for which usage is reported; usage is not counted if omitted (docs/design.md §14.2). */
   readonly usageWindow?: number | undefined;
 }
 
-/** What follows from the deployment's own bounds; constants are what holds where none are told (docs/design.md §13.3). */
+/** Settings derived from the bounds of a deployment, or defaults where it sets no bounds. */
 export interface Policy {
-  /** Live work on passages goes on by what a node knows, also while it holds no lease: where bounds hold only for nodes in touch with control. */
+  /** Whether a node without a lease continues to serve live requests on passages by its last known state: where the bounds apply only to nodes in contact with control. */
   readonly goesOnAlone: boolean;
-  /** ms. A runner not heard of for this long gets no work. */
+  /** A runner without a report for this many ms gets no work. */
   readonly runnerLasts: number;
-  /** copies. Nothing is confirmed on fewer; what chains are mended to. */
+  /** Minimum number of copies of a committed entry, and number of copies to which chains are repaired. */
   readonly copiesLeast: number;
   readonly copiesWanted: number;
-  /** machines. Others that must be left to take the queues of one that is emptied. */
+  /** Minimum number of other machines that must remain to take over the queues of a drained one. */
   readonly othersLeast: number;
-  /** machines. What the control group is mended to. */
+  /** Number of machines to which the control group is repaired. */
   readonly controlsWanted: number;
-  /** ms. After the telling of an end no item of the lot begins later than this. */
+  /** Time in ms after the acknowledgement of a lot's cancellation within which an item of it may still begin. */
   readonly cancelWithin: number;
-  /** ms. A planned stop ends within this. */
+  /** A planned stop ends within this many ms. */
   readonly stopWithin: number;
-  /** items/s and items. Bucket of a pool's queue where its pool names none. */
+  /** Token bucket of a pool's queue whose pool sets none: items per second, and capacity in items. */
   readonly poolRate: number;
   readonly poolBurst: number;
-  /** Megabytes that this process may use, and descriptors. */
+  /** Megabytes of memory and file descriptors that this process may use. */
   readonly memory: number;
   readonly descriptors: number;
-  /** ms. Windows of usage; undefined where none is reported. */
+  /** Length of usage windows in ms; undefined where usage is not reported. */
   readonly usageWindow?: number | undefined;
 }
 
@@ -75,80 +76,88 @@
   descriptors: 1_024,
 };
 
-/** The least that one bound may be, and why: the reason stands before the number in a refusal. */
-interface Least {
+/** Minimum of one bound. The error message puts the reason before the number. */
+interface MinimumBound {
   readonly name: Exclude<keyof Bounds, "losses" | "goesOnAlone" | "disk" | "usageWindow">;
-  readonly least: number;
-  readonly why: string;
+  readonly minimum: number;
+  readonly reason: string;
 }
 
-const leasts: readonly Least[] = [
-  { name: "reportsEvery", least: 1, why: "it must be at least" },
+const minimumBounds: readonly MinimumBound[] = [
+  { name: "reportsEvery", minimum: 1, reason: "it must be at least" },
   {
     name: "acknowledgeWithin",
-    /** A frozen node keeps its lease to its end, one that lags gets the next until it is known to lag. */
-    least: constants.leaseLasts + constants.lagLasts + constants.resendAfter,
-    why: "a frozen node's lease holds a change up, ms at least",
+    // A suspended node keeps its lease until it expires; a lagging one gets another until it is known to lag.
+    minimum: constants.leaseLasts + constants.lagLasts + constants.resendAfter,
+    reason: "the lease of a suspended node delays a change, minimum in ms:",
   },
   {
     name: "contactWithin",
-    least: constants.sessionLasts,
-    why: "a node is bound once its session stands, ms at least",
+    minimum: constants.sessionLasts,
+    reason: "a node follows control once its session exists, minimum in ms:",
   },
   {
     name: "drainWithin",
-    least: constants.connectPatience,
-    why: "a runner may be picked just before and connected to, ms at least",
+    minimum: constants.connectPatience,
+    reason: "a runner may be chosen just before and still be connecting, minimum in ms:",
+  },
+  {
+    name: "applyWithin",
+    minimum: constants.beatEvery,
+    reason: "nodes check once per tick, minimum in ms:",
   },
-  { name: "applyWithin", least: constants.beatEvery, why: "nodes look at each beat, ms at least" },
   {
     name: "cancelWithin",
-    least: constants.cancelLeast,
-    why: "an item just granted must begin or come back, ms at least",
+    minimum: constants.cancelLeast,
+    reason: "an item just granted must begin or be given back, minimum in ms:",
   },
   {
     name: "stopWithin",
-    least: constants.stopLeast,
-    why: "what is under way ends or is handed over, ms at least",
+    minimum: constants.stopLeast,
+    reason: "work in progress must end or be handed over, minimum in ms:",
   },
   {
     name: "syncWithin",
-    least: constants.sessionLasts,
-    why: "a machine that is back is known by its session and copied to, ms at least",
+    minimum: constants.sessionLasts,
+    reason: "a machine that returns needs a session before it is copied to, minimum in ms:",
   },
   {
     name: "recoverWithin",
-    least: constants.memberSilence + constants.leaseLasts + constants.sessionLasts,
-    why: "silence, a lease and a session pass first, ms at least",
+    minimum: constants.memberSilence + constants.leaseLasts + constants.sessionLasts,
+    reason: "the silence timeout, a lease and a session must expire first, minimum in ms:",
+  },
+  { name: "memory", minimum: constants.memoryLeast, reason: "minimum megabytes for a process:" },
+  {
+    name: "descriptors",
+    minimum: constants.descriptorsLeast,
+    reason: "minimum file descriptors for a process:",
   },
-  { name: "memory", least: constants.memoryLeast, why: "a process needs megabytes:" },
-  { name: "descriptors", least: constants.descriptorsLeast, why: "a process needs descriptors:" },
 ];
 
-/** Reasons for which bounds cannot hold. */
-function refusals(bounds: Bounds): string[] {
+/** Error messages for bounds that cannot be met. */
+function violations(bounds: Bounds): string[] {
   const found: string[] = [];
-  for (const { name, least, why } of leasts)
-    if (!(bounds[name] >= least))
-      found.push(`bounds.${name}: ${bounds[name]} is too little: ${why} ${least}`);
+  for (const { name, minimum, reason } of minimumBounds)
+    if (!(bounds[name] >= minimum))
+      found.push(`bounds.${name}: ${bounds[name]} is too low: ${reason} ${minimum}`);
   for (const [kind, count] of Object.entries(bounds.losses))
     if (!Number.isInteger(count) || count < 0)
-      found.push(`bounds.losses.${kind}: ${count} must be a whole number, 0 or more`);
+      found.push(`bounds.losses.${kind}: ${count} must be an integer of 0 or more`);
   if (bounds.losses.machines > constants.lossesMost)
     found.push(
-      `bounds.losses.machines: ${bounds.losses.machines} is too many: chains of copies stand up to ${constants.lossesMost} losses at once`,
+      `bounds.losses.machines: ${bounds.losses.machines} is too many: replication tolerates up to ${constants.lossesMost} simultaneous losses`,
     );
   return found;
 }
 
-/** Worked out and checked: a combination that cannot hold is refused with all its reasons. */
+/** Derives the policy from checked bounds; a combination that cannot be met is rejected with all reasons. */
 function from(bounds: Bounds): Outcome<Policy> {
-  const found = refusals(bounds);
+  const found = violations(bounds);
   if (found.length > 0) return outcome.bad(found.join("; "));
   const losses = Math.max(1, bounds.losses.machines);
   return outcome.good({
     goesOnAlone: bounds.goesOnAlone,
-    /** Silence of a runner is told from a late report after three that did not come. */
+    // After three missed reports a runner is considered silent; a shorter gap may be a late report.
     runnerLasts: bounds.reportsEvery * 4,
     copiesLeast: losses + 1,
     copiesWanted: losses + 2,
--- a/packages/parts/src/season.ts
+++ b/packages/parts/src/season.ts
@@ -1,21 +1,27 @@
-/** Labels by name, as a model, an adapter, a way, a lot or a runner carries them. */
+/**
+ * Seasons: dated windows with their own limits, which apply to queues by label selectors (docs/design.md §8).
+ * A lot is a batch job, a way is a route.
+ */
+
+/** Labels by name, of a model, an adapter, a way, a lot or a runner. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** One condition on one label; a list of selectors holds where all of them do. */
+/** Condition on one label; a list of selectors matches if all of them match. */
 export type Selector =
   | { readonly label: string; readonly equals: string }
   | { readonly label: string; readonly in: readonly string[] }
   | { readonly label: string; readonly exists: boolean };
 
-/** A dated window with label selectors (docs/design.md §8). Wall-clock times in ms. */
+/** A dated window with label selectors. Wall-clock times in ms. */
 export interface Season {
   readonly name: string;
-  /** Start inclusive, end exclusive. */
+  /** Inclusive start, exclusive end. */
   readonly start: number;
   readonly end: number;
   readonly select: readonly Selector[];
+  /** Number of items that may wait in a selected queue. */
   readonly waiting: number;
-  /** Which runners its lots may use, by their labels; all where empty. */
+  /** Selects the runners that its lots may use; all if empty. */
   readonly runners: readonly Selector[];
   readonly limits?: {
     readonly tokens: number;
@@ -24,7 +30,7 @@
   };
 }
 
-/** Whether labels meet all of the selectors. */
+/** Whether labels match all selectors. */
 function matches(selectors: readonly Selector[], labels: Labels): boolean {
   for (const selector of selectors) {
     const value = labels[selector.label];
@@ -35,18 +41,19 @@
   return true;
 }
 
-/** Whether labels of which only some are known may come to match: a lot brings its own. */
+/** Whether labels may still match when others are added: a lot adds its own labels. */
 function mayMatch(selectors: readonly Selector[], known: Labels): boolean {
-  const told: Selector[] = [];
-  for (const selector of selectors) if (known[selector.label] !== undefined) told.push(selector);
-  return matches(told, known);
+  const decidable: Selector[] = [];
+  for (const selector of selectors)
+    if (known[selector.label] !== undefined) decidable.push(selector);
+  return matches(decidable, known);
 }
 
 function isOpen(one: Season, wall: number): boolean {
   return wall >= one.start && wall < one.end;
 }
 
-/** Those open at a moment, in the order in which they decide: the latest started first, ties by name. */
+/** Seasons open at a time in order of precedence: the latest start first, ties by name. */
 function opened(seasons: readonly Season[], wall: number): Season[] {
   const found: Season[] = [];
   for (const one of seasons) if (isOpen(one, wall)) found.push(one);
@@ -57,7 +64,7 @@
   return right.start - left.start || (left.name < right.name ? -1 : 1);
 }
 
-/** The next start or end of any of these seasons. */
+/** Next start or end of any of the seasons. */
 function nextChange(seasons: readonly Season[], wall: number): number | undefined {
   let next: number | undefined;
   for (const one of seasons)
@@ -66,13 +73,13 @@
   return next;
 }
 
-/** Of several open seasons that select a queue, the one that started last decides; ties go by name. */
+/** The season in force for a queue: of the open ones that select it the one that started last, ties by name. */
 function deciding(seasons: readonly Season[], labels: Labels, wall: number): Season | undefined {
   for (const one of opened(seasons, wall)) if (matches(one.select, labels)) return one;
   return undefined;
 }
 
-/** The next start or end of a season from which on so many items may wait; undefined where none brings that. */
+/** Next start or end of a season after which `count` items may wait; undefined if there is none. */
 function roomAt(
   seasons: readonly Season[],
   labels: Labels,
@@ -85,7 +92,7 @@
   return undefined;
 }
 
-/** Starts and ends, after a moment, of the seasons that select by these labels; in order of time. */
+/** Later starts and ends of the seasons that select these labels, in order of time. */
 function changesAhead(seasons: readonly Season[], labels: Labels, wall: number): number[] {
   const moments: number[] = [];
   for (const one of seasons) if (matches(one.select, labels)) moments.push(one.start, one.end);
@@ -96,14 +103,16 @@
   return left - right;
 }
 
-/** Half of an allowance is cut evenly, half by need, so that every queue can begin and the busy ones get more. */
+/** Divides an allowance half evenly and half by need, so that every queue can begin and busy ones get more. */
 function cut(allowance: number, needs: readonly number[]): number[] {
-  let all = 0;
-  for (const need of needs) all += need;
+  let totalNeed = 0;
+  for (const need of needs) totalNeed += need;
   const shares: number[] = [];
   for (const need of needs) {
     const even = allowance / needs.length;
-    shares.push(Math.floor(all === 0 ? even : even / 2 + ((allowance / 2) * need) / all));
+    shares.push(
+      Math.floor(totalNeed === 0 ? even : even / 2 + ((allowance / 2) * need) / totalNeed),
+    );
   }
   return shares;
 }
--- a/packages/parts/src/session.ts
+++ b/packages/parts/src/session.ts
@@ -1,33 +1,36 @@
+/** Sessions of nodes with control machines, leases, and the registry of runners (docs/design.md §4, §7). */
 import { constants } from "./constants.js";
 import { holdersOf, type ChainView } from "./chain.js";
 import { policy, type Policy } from "./policy.js";
 
-/** Sessions of nodes with control machines, leases, and the registry of runners (docs/design.md §4, §7). */
+/** How a node describes itself in its heartbeats. */
 export interface NodeCard {
   readonly identity: string;
   readonly address: string;
   readonly kind: "access" | "storage";
   readonly zone: string;
-  /** Its name in the deployment, under which operators speak of it; its disk's identity may change (§13.8). */
+  /** Node name in the deployment, as operators use it; the identity belongs to the disk and may change (docs/design.md §13.8). */
   readonly name?: string;
-  /** Where callers or operators reach it over HTTP. */
+  /** HTTP address for callers or operators. */
   readonly http: string;
-  /** About to stop as planned: its duties are handed over (§8.6). */
+  /** Set during a planned stop: its duties are handed over (docs/design.md §8.6). */
   readonly leaving: boolean;
-  /** Not bound by a promise to a peer: only then does its place count, and may it get a lease (§7.4). */
+  /** Not bound by a promise to a peer: only then does its feed index count, and only then may it get a lease (docs/design.md §7.4). */
   readonly free: boolean;
-  /** What this node says of itself: its place in the feed and what it found out. */
+  /** Feed index up to which this node has applied entries. */
   readonly place: number;
+  /** What this node observed. */
   readonly telling: Telling;
 }
 
+/** Observations that a node reports in its heartbeats. */
 export interface Telling {
-  /** Chains that this storage machine has copied whole, with the view's mark. */
+  /** Chains that this storage machine has copied completely, with the epoch of the view. */
   readonly copied?: readonly (readonly [queue: string, mark: number])[];
-  /** Replicas that hold up a chain, as seen from here. */
+  /** Replicas that delay a chain, as observed by this node. */
   readonly stuck?: readonly (readonly [queue: string, mark: number, identity: string])[];
   readonly runners?: readonly RunnerCard[];
-  /** Of queues owned here: the share in force by its mark, what it may still come to hold, and what it needs; in all, and by season. */
+  /** For queues owned by this node: epoch of the share in force, items allowed by it or still open (whichever is more), and items needed; in total and by season. */
   readonly shares?: readonly (readonly [
     queue: string,
     shareMark: number,
@@ -35,65 +38,74 @@
     need: number,
     classes?: readonly ShareTelling[],
   ])[];
-  /** Lot prompts that this access node has under way, by runner. */
+  /** Prompts of lots that this access node has in progress, by runner. */
   readonly lots?: readonly (readonly [runner: string, count: number])[];
-  /** What this access node has under way on passages, by runner: live requests and items of lots. */
+  /** Load of this access node on passages, by runner: live requests and items of lots in progress. */
   readonly burdens?: readonly RunnerLoad[];
-  /** Live requests turned away for want of a seat lately, by model. */
+  /** Live requests recently rejected for lack of a free slot, by model. */
   readonly turnedAway?: readonly (readonly [model: string, count: number])[];
 }
 
+/** Items that a queue holds or may hold, and items that it needs, in one season. */
 export type ShareTelling = readonly [season: string, held: number, need: number];
 
+/** How a runner is described in its announcements and in the registry. */
 export interface RunnerCard {
   readonly id: string;
-  /** Grows with each life of the runner, so an old word is known as such however late it comes (§7.5). */
+  /** Grows with each restart of the runner, so that an outdated report is recognized however late it arrives (docs/design.md §7.5). */
   readonly incarnation: number;
   readonly url: string;
   readonly kind: "model" | "plain";
   readonly models: readonly string[];
   readonly labels: Readonly<Record<string, string>>;
+  /** Concurrency slots. */
   readonly seats: number;
   readonly zone: string;
+  /** Load: requests in progress. */
   readonly burden: number;
-  /** Rises with each word of this life, where runners number their words: a late one is known by it (§13.8). */
+  /** Rises with each report of this incarnation, where runners number their reports; reveals a delayed one (docs/design.md §13.8). */
   readonly sequence?: number;
-  /** The pool it belongs to, where passages lead to it (§13.1). */
+  /** Pool of the runner, where passages route to it (docs/design.md §13.1). */
   readonly pool?: string;
-  /** ms that it stays slow from when it was told. */
+  /** Remaining warm-up in ms, counted from the report: the runner is slow until then. */
   readonly warming?: number;
-  /** ms since the runner itself was heard by whoever told it. */
+  /** ms since the sender of this entry received a report from the runner itself. */
   readonly age: number;
 }
 
+/** A node in the registry. */
 export interface RegistryNode {
   readonly card: NodeCard;
+  /** ms since the last heartbeat of the node. */
   readonly age: number;
 }
 
+/** Nodes and runners known to a control machine. */
 export interface RunnerRegistry {
   readonly nodes: readonly RegistryNode[];
   readonly runners: readonly RunnerCard[];
-  /** Sums over all access nodes but the one that is told: work under way on passages, by runner (§13.4). */
+  /** Sums over all access nodes except the receiver: requests in progress on passages, by runner (docs/design.md §13.4). */
   readonly others?: readonly RunnerLoad[];
 }
 
-/** A registry that tells nothing. */
 export const emptyRegistry: RunnerRegistry = { nodes: [], runners: [] };
 
+/** Requests in progress at one runner. */
 export type RunnerLoad = readonly [runner: string, live: number, items: number];
 
 interface Session {
   card: NodeCard;
+  /** When the newest heartbeat was received, by this machine or by the one that forwarded it. */
   heardAt: number;
-  /** End of the lease granted here, or undefined where the session is known by hearsay. */
+  /** End of the lease granted by this machine; undefined where the session is known only from other control machines. */
   leaseUntil: number | undefined;
+  /** Highest feed index that the node reported while it was free of promises. */
   taken: number;
-  /** Moment of the last word heard from the node itself, by its own clock. */
+  /** When the node sent the last heartbeat that arrived here directly, by its own clock. */
   askedAt?: number;
 }
 
-/** A later life of a runner counts before an earlier one, whenever heard; within a life the later word does, by its number where it has one (§7.5). */
+/** Whether a report replaces a known one: the higher incarnation wins regardless of arrival; within one, the higher sequence number, then the later arrival (docs/design.md §7.5). */
 export function isNewerWord(
   card: RunnerCard,
   heardAt: number,
@@ -101,16 +113,16 @@
   heldAt: number,
 ): boolean {
   if (card.incarnation !== held.incarnation) return card.incarnation > held.incarnation;
-  const [number, heldNumber] = [card.sequence ?? 0, held.sequence ?? 0];
-  return number === heldNumber ? heardAt > heldAt : number > heldNumber;
+  const [sequence, heldSequence] = [card.sequence ?? 0, held.sequence ?? 0];
+  return sequence === heldSequence ? heardAt > heldAt : sequence > heldSequence;
 }
 
-/** Whether a word says something that nodes act upon: where it stands, what it carries. */
+/** Whether a report changes something that nodes act upon; load and age alone do not count. */
 export function saysNew(card: RunnerCard, held: RunnerCard | undefined): boolean {
-  return held === undefined || lasting(card) !== lasting(held);
+  return held === undefined || stableFields(card) !== stableFields(held);
 }
 
-function lasting({
+function stableFields({
   id,
   incarnation,
   url,
@@ -136,49 +148,51 @@
   ]);
 }
 
-/** A moment by the clock of one life of a control machine. */
+/** A time by the clock of one incarnation of a control machine. */
 export interface Stamp {
+  /** Incarnation of the control machine. */
   readonly life: string;
   readonly at: number;
 }
 
-/** A stamp given back, and how long it was held here: so its giver knows how long a message was on its way at most (§7.5). */
+/** A stamp returned to its issuer with the time for which it was held, which bounds the transit time of the message (docs/design.md §7.5). */
 export interface Back extends Stamp {
   readonly held: number;
 }
 
-/** ms. How late a message may be; one without a stamp of this life may be as late as a session lasts. */
+/** Upper bound on the transit time of a message in ms; without a stamp of this incarnation it is the session timeout. */
 export function lateness(back: Back | null | undefined, life: string, now: number): number {
-  /** Releases that know no stamps. */
+  // Earlier releases send no stamps.
   if (back === undefined) return 0;
   return back === null || back.life !== life
     ? constants.sessionLasts
     : Math.max(0, now - back.at - back.held);
 }
 
+/** Returns a received stamp to its issuer; null where none was received. */
 export function giveBack(held: { stamp: Stamp; at: number } | undefined, now: number): Back | null {
   return held === undefined ? null : { ...held.stamp, held: now - held.at };
 }
 
-/** Control side. */
+/** Sessions and runners known to one control machine. */
 export class Sessions {
   #sessions = new Map<string, Session>();
   #runners = new Map<string, { card: RunnerCard; heardAt: number }>();
   #policy: Policy;
-  /** Work under way by runner, over all access nodes, summed once a beat. */
-  #sums = new Map<string, [live: number, items: number]>();
+  /** Requests in progress by runner over all access nodes, summed once per tick. */
+  #loadSums = new Map<string, [live: number, items: number]>();
   #summedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(chosen: Policy = policy.usual) {
-    this.#policy = chosen;
+  constructor(selectedPolicy: Policy = policy.usual) {
+    this.#policy = selectedPolicy;
   }
 
-  /** Nodes with a session here, by hearsay too. */
+  /** Nodes with a session, including those known only from other control machines. */
   get size(): number {
     return this.#sessions.size;
   }
 
-  /** A runner's own word: whether it is newer than all that was known, and whether it is worth telling at once. */
+  /** Records a runner's own announcement; returns whether it is newer than what was known, and whether it must be forwarded at once. */
   announced(card: RunnerCard, now: number): { newer: boolean; news: boolean } {
     const held = this.#runners.get(card.id);
     const newer = held === undefined || isNewerWord(card, now, held.card, held.heardAt);
@@ -189,8 +203,9 @@
   }
 
   /**
-   * Late: how long the message may have been on its way, which makes the runners' words in it older. False where a later word of the
-   * node is known, so that nothing was taken.
+   * Records a heartbeat of a node, received directly or from another control machine.
+   * `late` bounds the transit time of the message, by which the runner reports in it are older.
+   * Returns false, and changes nothing, where a later heartbeat of the node is known.
    */
   heard(
     card: NodeCard,
@@ -201,7 +216,7 @@
     askedAt?: number,
   ): boolean {
     const held = this.#sessions.get(card.identity);
-    /** An earlier word of the same life that came after a later one: it says where the node stood, not where it stands (§4.2). */
+    // An earlier heartbeat of the same incarnation that arrived after a later one describes an outdated state (docs/design.md §4.2).
     if (
       held?.askedAt !== undefined &&
       askedAt !== undefined &&
@@ -210,7 +225,8 @@
     )
       return false;
     const heardAt = now - age;
-    /** The first word of a new life at an address: the one before is over, and so is its lease. Hearsay may be of an earlier life. */
+    // The first direct heartbeat of a new incarnation at an address ends the previous one and its lease.
+    // An indirect report does not, since it may concern an earlier incarnation.
     if (held?.askedAt === undefined && askedAt !== undefined)
       for (const session of this.#sessions.values())
         if (session.card.address === card.address) session.leaseUntil = undefined;
@@ -234,11 +250,11 @@
         held.heardAt = Math.max(heardAt, held.heardAt);
       }
     }
-    for (const runner of card.telling.runners ?? []) this.#heardRunner(runner, now - late);
+    for (const runner of card.telling.runners ?? []) this.#recordRunner(runner, now - late);
     return true;
   }
 
-  #heardRunner(card: RunnerCard, now: number): void {
+  #recordRunner(card: RunnerCard, now: number): void {
     const heardAt = now - card.age;
     const held = this.#runners.get(card.id);
     if (held === undefined || isNewerWord(card, heardAt, held.card, held.heardAt))
@@ -247,7 +263,7 @@
 
   merge(registry: RunnerRegistry, now: number, late: number): void {
     for (const { card, age } of registry.nodes) this.heard(card, now, undefined, age, late);
-    for (const runner of registry.runners) this.#heardRunner(runner, now - late);
+    for (const runner of registry.runners) this.#recordRunner(runner, now - late);
   }
 
   forget(now: number): void {
@@ -259,7 +275,7 @@
       if (now - runner.heardAt > this.#policy.runnerLasts * 4) this.#runners.delete(id);
   }
 
-  /** Whether any node told of itself lately; where none did, this machine is the one that is away. */
+  /** Whether any node sent a heartbeat recently; if none did, this machine is the one that is disconnected. */
   hearsAny(now: number): boolean {
     for (const session of this.#sessions.values())
       if (now - session.heardAt <= constants.sessionEvery * 3) return true;
@@ -275,7 +291,7 @@
     return found;
   }
 
-  /** Nodes with a session held right here, to whom the feed is sent at once. */
+  /** Nodes with a lease granted by this machine; new feed entries are sent to them at once. */
   followers(now: number): NodeCard[] {
     const found: NodeCard[] = [];
     for (const session of this.#sessions.values())
@@ -283,7 +299,7 @@
     return found;
   }
 
-  /** How many leases granted here still count. */
+  /** Number of leases granted by this machine that have not expired. */
   holders(now: number): number {
     let count = 0;
     for (const { leaseUntil } of this.#sessions.values())
@@ -291,72 +307,73 @@
     return count;
   }
 
-  /** Place that the node at an address took while it was free. */
+  /** Highest feed index that the node at an address reported while it was free of promises. */
   taken(address: string): number {
-    let place = 0;
+    let feedIndex = 0;
     let heardAt = Number.NEGATIVE_INFINITY;
     for (const session of this.#sessions.values()) {
       if (session.card.address !== address || session.heardAt < heardAt) continue;
       heardAt = session.heardAt;
-      place = session.taken;
+      feedIndex = session.taken;
     }
-    return place;
+    return feedIndex;
   }
 
-  /** The place that every holder of a lease granted here has reached. */
+  /** Feed index that every holder of a lease granted by this machine has reached, up to a limit. */
   covered(limit: number, now: number): number {
-    let place = limit;
+    let feedIndex = limit;
     for (const session of this.#sessions.values()) {
       if (session.leaseUntil !== undefined && session.leaseUntil > now)
-        place = Math.min(place, session.card.place);
+        feedIndex = Math.min(feedIndex, session.card.place);
     }
-    return place;
+    return feedIndex;
   }
 
-  /** Without what only control acts upon; loads as sums, so that a registry grows with nodes plus runners, not with their product. */
+  /** Registry for one node, without what only control acts upon; loads are summed, so that its size grows with nodes plus runners, not with their product. */
   registryForNodes(now: number, identity: string): RunnerRegistry {
     const { nodes, runners } = this.registry(now);
-    const told: RegistryNode[] = [];
+    const reportedNodes: RegistryNode[] = [];
     for (const { card, age } of nodes)
-      told.push({
+      reportedNodes.push({
         card: {
           ...card,
           telling: { lots: card.telling.lots, turnedAway: card.telling.turnedAway },
         },
         age,
       });
-    return { nodes: told, runners, others: this.#othersThan(identity, now) };
+    return { nodes: reportedNodes, runners, others: this.#loadsExcept(identity, now) };
   }
 
-  #othersThan(identity: string, now: number): RunnerLoad[] {
+  #loadsExcept(identity: string, now: number): RunnerLoad[] {
     if (now - this.#summedAt >= constants.beatEvery || now < this.#summedAt) {
       this.#summedAt = now;
-      this.#sums = new Map();
+      this.#loadSums = new Map();
       for (const { card, heardAt } of this.#sessions.values()) {
         if (card.kind !== "access" || now - heardAt > constants.sessionLasts) continue;
         for (const [runner, live, items] of card.telling.burdens ?? []) {
-          const sum = this.#sums.get(runner) ?? [0, 0];
-          this.#sums.set(runner, [sum[0] + live, sum[1] + items]);
+          const sum = this.#loadSums.get(runner) ?? [0, 0];
+          this.#loadSums.set(runner, [sum[0] + live, sum[1] + items]);
         }
       }
     }
-    const own = new Map<string, RunnerLoad>();
+    const ownLoads = new Map<string, RunnerLoad>();
     for (const load of this.#sessions.get(identity)?.card.telling.burdens ?? [])
-      own.set(load[0], load);
+      ownLoads.set(load[0], load);
     const others: RunnerLoad[] = [];
-    for (const [runner, [live, items]] of this.#sums) {
-      const [, ownLive, ownItems] = own.get(runner) ?? [runner, 0, 0];
+    for (const [runner, [live, items]] of this.#loadSums) {
+      const [, ownLive, ownItems] = ownLoads.get(runner) ?? [runner, 0, 0];
       if (live > ownLive || items > ownItems)
         others.push([runner, Math.max(0, live - ownLive), Math.max(0, items - ownItems)]);
     }
     return others;
   }
 
+  /** Registry for the other control machines. */
   registry(now: number): RunnerRegistry {
     const nodes: RegistryNode[] = [];
     for (const session of this.#sessions.values()) {
       const age = now - session.heardAt;
-      /** Loads are told to every control machine by the nodes themselves. */
+      // Nodes report their loads to every control machine themselves.
       if (age <= constants.sessionLasts)
         nodes.push({
           card: {
@@ -375,99 +392,101 @@
   }
 }
 
-/** What nodes say to each other while control is away (§7.4). */
+/** Messages between nodes while control is unreachable (docs/design.md §7.4). */
 export type PeerMessage =
   | { readonly kind: "fellow-ask"; readonly askedAt: number; readonly place: number }
   | {
       readonly kind: "fellow-tell";
       readonly askedAt: number;
       readonly place: number;
-      /** Control is away from here too, and nothing is taken from it while the permit lasts. */
+      /** Control is unreachable from the sender too, and it accepts nothing from control while the permit is valid. */
       readonly promises: boolean;
       readonly runners: readonly RunnerCard[];
       readonly closed: readonly (readonly [runner: string, incarnation: number])[];
     };
 
-/** ms. For how long a holder may count on what it was given for `lasts`, counted from when it asked, by a clock that may go slower. */
-export function heldFor(lasts: number): number {
-  return lasts * (1 - constants.clockRatesApart);
+/** How long, in ms from its request, the holder of a lease or grant may rely on it: shorter by the drift by which its clock may be slower. */
+export function heldFor(grantedMs: number): number {
+  return grantedMs * (1 - constants.clockRatesApart);
 }
 
-/** Node side: a lease counts while a majority of the newest view's members grant it. */
+/** A node's lease, valid while a majority of the members of the newest view grant it. */
 export class Lease {
   #view: ChainView | undefined;
   #grants = new Map<string, { until: number; place: number }>();
-  /** The view before: its grants run to their end, since every member of the next waits that long (§7.2). */
-  #before: { view: ChainView; grants: Map<string, { until: number; place: number }> } | undefined;
-  /** The end last worked out, until a grant changes it: it is asked for several times with each beat and message. */
-  #known: { readonly place: number; readonly until: number } | undefined;
+  /** The previous view: its grants stay valid until they expire, because every member of the next view waits that long (docs/design.md §7.2). */
+  #previous: { view: ChainView; grants: Map<string, { until: number; place: number }> } | undefined;
+  /** Cached expiry until a grant changes it, because it is read several times per tick and message. */
+  #cachedExpiry: { readonly place: number; readonly until: number } | undefined;
 
   get view(): ChainView | undefined {
     return this.#view;
   }
 
-  /** The lease runs from the moment this node asked, so it ends here before it ends at the granter. */
+  /** Records a grant. The lease runs from the request of this node, so that it ends here before it ends at the granter. */
   granted(identity: string, view: ChainView, askedAt: number, place: number): void {
     if (this.#view === undefined || view.mark > this.#view.mark) {
-      if (this.#view !== undefined) this.#before = { view: this.#view, grants: this.#grants };
+      if (this.#view !== undefined) this.#previous = { view: this.#view, grants: this.#grants };
       this.#view = view;
       this.#grants = new Map();
-      this.#known = undefined;
+      this.#cachedExpiry = undefined;
     }
     if (view.mark !== this.#view.mark) return;
     this.#grants.set(identity, { until: askedAt + heldFor(constants.leaseLasts), place });
-    this.#known = undefined;
+    this.#cachedExpiry = undefined;
   }
 
-  /** A grant counts only for a node that has come as far in the feed as the granter had. */
-  holds(now: number, place: number): boolean {
-    return now < this.until(place);
+  /** Whether the lease is valid; a grant counts only once the node has reached the feed index that the granter had. */
+  holds(now: number, feedIndex: number): boolean {
+    return now < this.until(feedIndex);
   }
 
-  /** Members of the newest view whose grants count at a moment for a node at a place. */
-  granters(now: number, place: number): string[] {
+  /** Members of the newest view whose grants are valid for a node at a feed index. */
+  granters(now: number, feedIndex: number): string[] {
     const found: string[] = [];
     for (const [identity, grant] of this.#grants)
-      if (grant.until > now && isReached(grant, place)) found.push(identity);
+      if (grant.until > now && isReached(grant, feedIndex)) found.push(identity);
     return found;
   }
 
-  /** Moment at which the lease ends for a node that has come to a place in the feed. */
-  until(place: number): number {
-    if (this.#known?.place !== place) this.#known = { place, until: this.#untilAt(place) };
-    return this.#known.until;
+  /** When the lease expires for a node at a feed index. */
+  until(feedIndex: number): number {
+    if (this.#cachedExpiry?.place !== feedIndex)
+      this.#cachedExpiry = { place: feedIndex, until: this.#expiresAt(feedIndex) };
+    return this.#cachedExpiry.until;
   }
 
-  #untilAt(place: number): number {
+  #expiresAt(feedIndex: number): number {
     const newest =
       this.#view === undefined
         ? Number.NEGATIVE_INFINITY
-        : majorityUntil(this.#view, this.#grants, place);
-    return this.#before === undefined
+        : majorityExpiry(this.#view, this.#grants, feedIndex);
+    return this.#previous === undefined
       ? newest
-      : Math.max(newest, majorityUntil(this.#before.view, this.#before.grants, place));
+      : Math.max(newest, majorityExpiry(this.#previous.view, this.#previous.grants, feedIndex));
   }
 }
 
-/** Whether a node has come as far as the granter had. */
-function isReached(grant: { readonly place: number }, place: number): boolean {
-  return grant.place <= place;
+/** Whether a node has reached the feed index that the granter had. */
+function isReached(grant: { readonly place: number }, feedIndex: number): boolean {
+  return grant.place <= feedIndex;
 }
 
-function majorityUntil(
+function majorityExpiry(
   view: ChainView,
   grants: ReadonlyMap<string, { until: number; place: number }>,
-  place: number,
+  feedIndex: number,
 ): number {
-  /** Of members too few to confirm, any other that held all may take the place, and it knows of no lease that they gave (§1.5). */
+  // Where the members are too few to commit, any other complete replica may replace one, and it does not know the leases
+  // that they granted; so the majority is taken of all holders (docs/design.md §1.5).
   const granters = holdersOf(view);
-  const ends: number[] = [];
+  const expiries: number[] = [];
   for (const { identity } of granters) {
     const grant = grants.get(identity);
-    if (grant !== undefined && isReached(grant, place)) ends.push(grant.until);
+    if (grant !== undefined && isReached(grant, feedIndex)) expiries.push(grant.until);
   }
-  ends.sort(descending);
-  return ends[Math.floor(granters.length / 2)] ?? Number.NEGATIVE_INFINITY;
+  expiries.sort(descending);
+  return expiries[Math.floor(granters.length / 2)] ?? Number.NEGATIVE_INFINITY;
 }
 
 function descending(left: number, right: number): number {
--- a/packages/parts/src/waiting.ts
+++ b/packages/parts/src/waiting.ts
@@ -1,20 +1,22 @@
-/** An item that waits, in its place in the queue. */
+/** Items that wait in a queue, in order of submission within groups. */
+
+/** An item that waits in a queue. */
 export interface WaitingItem {
-  /** Grows with each item handed in; never changes. */
+  /** Grows with each submitted item; never changes. */
   readonly sequence: number;
   /** Key of the item's record. */
   readonly key: string;
 }
 
-/** What a draw may take now. */
+/** Conditions on the items that may be dequeued now. */
 export interface Eligible<Item> {
   readonly mayRun: (item: Item) => boolean;
-  /** Whether an item lets pass all that do not. */
+  /** Whether an item yields to all items that do not yield. */
   readonly yields: (item: Item) => boolean;
 }
 
-/** Where a draw found the best item so far. */
-interface Found<Item> {
+/** Position of the best item found so far. */
+interface Candidate<Item> {
   readonly waiting: Item[];
   readonly at: number;
   readonly yields: boolean;
@@ -25,21 +27,21 @@
 }
 
 function isBetter<Item extends WaitingItem>(
-  found: Found<Item>,
-  best: Found<Item> | undefined,
+  found: Candidate<Item>,
+  best: Candidate<Item> | undefined,
 ): boolean {
   if (best === undefined) return true;
   if (best.yields !== found.yields) return best.yields;
   return found.waiting[found.at]!.sequence < best.waiting[best.at]!.sequence;
 }
 
-/** The best of one group; looks no further than the best of the groups before. */
+/** The best item of one group; stops at the sequence number of the best item of the previous groups. */
 function firstOf<Item extends WaitingItem>(
   waiting: Item[],
   { mayRun, yields }: Eligible<Item>,
-  best: Found<Item> | undefined,
-): Found<Item> | undefined {
-  let first: Found<Item> | undefined;
+  best: Candidate<Item> | undefined,
+): Candidate<Item> | undefined {
+  let first: Candidate<Item> | undefined;
   const bound =
     best === undefined || best.yields ? Number.POSITIVE_INFINITY : best.waiting[best.at]!.sequence;
   for (const [at, item] of waiting.entries()) {
@@ -52,8 +54,8 @@
 }
 
 /**
- * Items that wait in one queue, in order of sequence within each group. Groups are what a draw may
- * leave out: seasons of lots, or passages. Derived from the ledger (docs/design.md §3.1, §8.4).
+ * Items that wait in one queue, in order of sequence within each group. A dequeue may exclude whole groups: seasons of lots,
+ * or passages. The state is derived from the ledger (docs/design.md §3.1, §8.4).
  */
 export class WaitingItems<Item extends WaitingItem> {
   #groups = new Map<string, Item[]>();
@@ -68,7 +70,7 @@
     return count;
   }
 
-  /** In order of sequence. */
+  /** Items of a group in order of sequence. */
   of(group: string): readonly Item[] {
     return this.#groups.get(group) ?? [];
   }
@@ -77,19 +79,19 @@
     return this.#groups.keys();
   }
 
-  /** Behind all others of its group. */
+  /** Appends an item to its group. */
   push(group: string, item: Item): void {
     const waiting = this.#groups.get(group);
     if (waiting === undefined) this.#groups.set(group, [item]);
     else waiting.push(item);
   }
 
-  /** After items were pushed in any order. */
+  /** Restores the order after items were pushed in any order. */
   sort(): void {
     for (const waiting of this.#groups.values()) waiting.sort(bySequence);
   }
 
-  /** Back to its own place in the queue. */
+  /** Inserts an item at the position given by its sequence. */
   giveBack(group: string, item: Item): void {
     const waiting = this.#groups.get(group) ?? [];
     let [low, high] = [0, waiting.length];
@@ -108,9 +110,9 @@
     this.#groups.set(group, kept);
   }
 
-  /** Takes the first item of some groups that may run and does not yield; else the first that may run. */
+  /** Removes and returns the first item of the groups that may run and does not yield, else the first that may run. */
   takeFirst(groups: Iterable<string>, eligible: Eligible<Item>): Item | undefined {
-    let best: Found<Item> | undefined;
+    let best: Candidate<Item> | undefined;
     for (const group of groups) {
       const waiting = this.#groups.get(group) ?? [];
       const found = firstOf(waiting, eligible, best);
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -114,7 +114,7 @@
     start: "formed",
     guard: "a lease is a majority's",
     invariant: "nobody serves without a majority's word",
-    cuts: [{ file: session, from: "ends[Math.floor(granters.length / 2)]", to: "ends[0]" }],
+    cuts: [{ file: session, from: "expiries[Math.floor(granters.length / 2)]", to: "expiries[0]" }],
   },
   {
     start: "formed",
@@ -126,13 +126,15 @@
     start: "severed",
     guard: "a holder counts its lease shorter than its granter",
     invariant: "a confirmed change is in force",
-    cuts: [{ file: session, from: "lasts * (1 - constants.clockRatesApart)", to: "lasts" }],
+    cuts: [{ file: session, from: "grantedMs * (1 - constants.clockRatesApart)", to: "grantedMs" }],
   },
   {
     start: "severed",
     guard: "leases count by where the node stands",
     invariant: "a confirmed change is in force",
-    cuts: [{ file: session, from: "place = Math.min(place, session.card.place);", to: ";" }],
+    cuts: [
+      { file: session, from: "feedIndex = Math.min(feedIndex, session.card.place);", to: ";" },
+    ],
   },
   {
     start: "rejoining",
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -126,8 +126,8 @@
   "leases go to those who have come as far": {
     section: "§7.1–7.3",
     cuts: [
-      { file: session, from: "grant.place <= place", to: "true" },
-      { file: session, from: "place = Math.min(place, session.card.place);", to: ";" },
+      { file: session, from: "grant.place <= feedIndex", to: "true" },
+      { file: session, from: "feedIndex = Math.min(feedIndex, session.card.place);", to: ";" },
       {
         file: laggingNodes,
         from: "isLagging(card, feedPlace, now) {",
@@ -139,7 +139,7 @@
     section: "§4.1, §7.1",
     cuts: [
       { file: feed, from: "if (message.place <= this.#place)", to: "if (false)" },
-      { file: session, from: "grant.place <= place", to: "true" },
+      { file: session, from: "grant.place <= feedIndex", to: "true" },
     ],
   },
   "a change is told when every lease has it": {
