--- a/features/agreed-time.feature
+++ b/features/agreed-time.feature
@@ -1,14 +1,14 @@
-Feature: Machines agree on the time though some of their clocks are wrong
+Feature: Machines agree on the time although some of their clocks are wrong
 
-  Rule: The median of the control machines' clocks counts
+  Rule: The median of the control machines' clocks is used
 
     Background:
-      Given a process that hears of the clocks of 5 control machines each 0.2 s
+      Given a process that receives the clocks of 5 control machines every 0.2 s
 
-    # Guards against usage counted in another window because a machine's clock was stepped.
-    Scenario Outline: Steps of a minority of the clocks and back don't move agreed time
+    # Guards against usage counted in the wrong window because a machine's clock was stepped.
+    Scenario Outline: Temporary steps of a minority of the clocks don't change agreed time
       When the clocks of <stepped> control machines and its own are stepped by <step> s for 10 s and back
-      Then agreed time was never more than 20 ms from the truth
+      Then agreed time was never more than 20 ms from true time
       And agreed time never went back
 
       Examples:
@@ -19,8 +19,8 @@
         | 2       | -2   |
         | 2       | 86400 |
 
-    # Guards against time that comes twice: a window that is over would begin again.
-    Scenario Outline: Agreed time does not go back, even where most clocks do
+    # Guards against time that repeats: a usage window that has ended would begin again.
+    Scenario Outline: Agreed time does not go back, even if most clocks do
       When the clocks of <stepped> control machines and its own are stepped by 2 s for 10 s and back
       Then agreed time never went back
 
@@ -29,30 +29,30 @@
         | 3       |
         | 5       |
 
-    # Guards against a fall back on a clock that may have been stepped, while a monotonic one keeps the time.
-    Scenario: Without the control machines the time that was agreed goes on
-      When no control machine is heard for 60 s, and its own clock is stepped by 2 s meanwhile
-      Then agreed time was never more than 20 ms from the truth
+    # Guards against a fallback to a wall clock that may have been stepped, while the monotonic clock is still accurate.
+    Scenario: Without the control machines agreed time continues
+      When no control machine sends its clock for 60 s, and the process's own clock is stepped by 2 s meanwhile
+      Then agreed time was never more than 20 ms from true time
       And agreed time never went back
 
-    Scenario: Losing control machines one by one, then clocks stepped, leaves agreed time where it was
+    Scenario: Lost control machines followed by a stepped clock don't change agreed time
       When the last 3 control machines fall silent for 20 s
       And the clock of control machine 1 is stepped by 2 s for 10 s and back
-      Then agreed time was never more than 20 ms from the truth
+      Then agreed time was never more than 20 ms from true time
 
-    # Guards against a message that waited while this process was frozen being read as a clock that is slow.
-    Scenario: Clocks told in messages that were long on their way are not read
-      When the process is frozen for 3 s, and then reads what had come
-      Then agreed time was never more than 20 ms from the truth
+    # Guards against a message that was buffered while the process was suspended being read as a slow clock.
+    Scenario: Clocks in delayed messages are ignored
+      When the process is suspended for 3 s and then reads the buffered messages
+      Then agreed time was never more than 20 ms from true time
 
-  Rule: Without enough clocks the own one counts too
+  Rule: Without enough clocks the process's own clock is used too
 
-    Scenario: Of two clocks that differ, the one nearer to what was agreed before counts
-      Given a process that hears of the clocks of 1 control machine each 0.2 s
+    Scenario: Of two clocks that differ, the one closer to the previous agreed time is used
+      Given a process that receives the clocks of 1 control machine every 0.2 s
       When the clocks of 1 control machines are stepped by 2 s for 10 s and back
-      Then agreed time was never more than 20 ms from the truth
+      Then agreed time was never more than 20 ms from true time
 
-    Scenario: A process that has heard nobody goes by its own clock
-      Given a process that hears of the clocks of 0 control machines each 0.2 s
-      When it hears nobody for 10 s
-      Then agreed time was never more than 20 ms from the truth
+    Scenario: A process that has received no clock uses its own
+      Given a process that receives the clocks of 0 control machines every 0.2 s
+      When it receives no clock for 10 s
+      Then agreed time was never more than 20 ms from true time
--- a/features/bucket.feature
+++ b/features/bucket.feature
@@ -1,23 +1,23 @@
-Feature: the source's step on the queue's owner
-  One queue per model or adapter; refill, check and dequeue are one step (docs/design.md §3.1).
+Feature: token bucket of a queue
+  One queue per model or adapter; its owner refills, checks and dequeues in one step (docs/design.md §3.1).
 
-  Scenario: the step agrees with an independent model over many seeds
+  Scenario: the bucket agrees with an independent model over many seeds
     Given 200 seeds
-    When each plays 300 draws, limit changes, hand-backs and clock steps on both
+    When each seed plays 300 draws, limit changes, returned tokens and clock steps on both
     Then every result, wait and level is the same
 
-  Scenario: the source's example keeps its rate
+  Scenario: a dispatcher that waits for each returned time gets the configured rate
     Given a bucket of 20 tokens per 60 s with a burst of 20
     When a dispatcher that sleeps each exact wait draws for 600 s of virtual time
-    Then 220 prompts were taken, the burst and the refill, with one to spare at most
+    Then 220 prompts were taken, the burst and the refill, give or take one
     And no wait was followed by a second rate-limited result
 
   Scenario: an empty queue spends nothing
     Given a bucket of 20 tokens per 60 s with a burst of 20
     When an empty queue is asked 100 times
-    Then 20 tokens are there
+    Then 20 tokens are left
 
-  Scenario: a rate of zero gives an honest wait
+  Scenario: a rate of zero gives no wait
     Given a bucket of 0 tokens per 60 s with a burst of 1
     When two prompts are drawn
     Then the second is rate-limited until the limit changes
--- a/features/steps/bucket.ts
+++ b/features/steps/bucket.ts
@@ -1,48 +1,51 @@
+/** Steps on the token bucket of a queue (docs/design.md §3.1). */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { bucket, type Bucket, type Limits } from "@chutewick/parts";
 import { Chance } from "@chutewick/simulator";
 
-/** Written from the design page alone: whole numbers, millionths of a token and whole ms, so no rounding is shared. */
+/** Reference model of a bucket. It uses only integers, so that it shares no rounding with the product. */
 class Model {
-  #millionths: bigint;
-  #at: bigint;
+  /** Billionths of a token. */
+  #billionths: bigint;
+  /** Time of the last refill in ms. */
+  #refilledAt: bigint;
   #limits: Limits;
 
   constructor(limits: Limits, now: number) {
     this.#limits = limits;
-    this.#millionths = BigInt(limits.capacity) * 1_000_000_000n;
-    this.#at = BigInt(now);
+    this.#billionths = BigInt(limits.capacity) * 1_000_000_000n;
+    this.#refilledAt = BigInt(now);
   }
 
   #refill(now: number): void {
-    const moment = BigInt(now);
-    if (moment > this.#at) {
-      this.#millionths +=
-        ((moment - this.#at) * BigInt(this.#limits.tokens) * 1_000_000n) /
+    const nowMs = BigInt(now);
+    if (nowMs > this.#refilledAt) {
+      this.#billionths +=
+        ((nowMs - this.#refilledAt) * BigInt(this.#limits.tokens) * 1_000_000n) /
         BigInt(this.#limits.windowSeconds);
-      this.#at = moment;
+      this.#refilledAt = nowMs;
     }
-    const most = BigInt(this.#limits.capacity) * 1_000_000_000n;
-    if (this.#millionths > most) this.#millionths = most;
+    const capacity = BigInt(this.#limits.capacity) * 1_000_000_000n;
+    if (this.#billionths > capacity) this.#billionths = capacity;
   }
 
   draw(now: number, waiting: number): { kind: string; wait?: number } {
-    const before = this.#millionths;
-    const at = this.#at;
+    const billionthsBefore = this.#billionths;
+    const refilledAtBefore = this.#refilledAt;
     this.#refill(now);
-    if (this.#millionths >= 999_999_990n) {
+    if (this.#billionths >= 999_999_990n) {
       if (waiting === 0) {
-        this.#millionths = before;
-        this.#at = at;
+        this.#billionths = billionthsBefore;
+        this.#refilledAt = refilledAtBefore;
         return { kind: "EMPTY" };
       }
-      this.#millionths = this.#millionths > 1_000_000_000n ? this.#millionths - 1_000_000_000n : 0n;
+      this.#billionths = this.#billionths > 1_000_000_000n ? this.#billionths - 1_000_000_000n : 0n;
       return { kind: "TAKEN" };
     }
-    const missing = 1_000_000_000n - this.#millionths;
-    this.#millionths = before;
-    this.#at = at;
+    const missing = 1_000_000_000n - this.#billionths;
+    this.#billionths = billionthsBefore;
+    this.#refilledAt = refilledAtBefore;
     if (this.#limits.tokens === 0) return { kind: "RATE_LIMITED" };
     return {
       kind: "RATE_LIMITED",
@@ -61,16 +64,16 @@
 
   restore(now: number): void {
     this.#refill(now);
-    this.#millionths += 1_000_000_000n;
+    this.#billionths += 1_000_000_000n;
     this.#refill(now);
   }
 
   level(now: number): number {
     const copy = new Model(this.#limits, 0);
-    copy.#millionths = this.#millionths;
-    copy.#at = this.#at;
+    copy.#billionths = this.#billionths;
+    copy.#refilledAt = this.#refilledAt;
     copy.#refill(now);
-    return Number(copy.#millionths) / 1e9;
+    return Number(copy.#billionths) / 1e9;
   }
 }
 
@@ -78,9 +81,11 @@
   seeds: number;
   differences: string[];
   limits: Limits;
+  /** The bucket under test. */
   held: Bucket;
   taken: number;
-  second: number;
+  /** Rate-limited results right after a wait. */
+  repeatedLimits: number;
   results: { kind: string; wait?: number | undefined }[];
 }
 
@@ -91,13 +96,13 @@
   );
 }
 
-function seeds(this: World, seeds: number) {
+function useSeeds(this: World, seeds: number) {
   this.seeds = seeds;
   this.differences = [];
 }
-Given("{int} seeds", seeds);
+Given("{int} seeds", useSeeds);
 
-function eachPlaysDrawsLimitChangesHandBacks(this: World, steps: number) {
+function playRandomSteps(this: World, steps: number) {
   for (let seed = 0; seed < this.seeds; seed += 1) {
     const chance = new Chance(seed);
     let limits: Limits = {
@@ -106,7 +111,7 @@
       capacity: 1 + chance.below(20),
     };
     let now = 1_000_000;
-    let held = bucket.full(limits, now);
+    let state = bucket.full(limits, now);
     const model = new Model(limits, now);
     let waiting = chance.below(50);
     for (let step = 0; step < steps; step += 1) {
@@ -119,19 +124,19 @@
           windowSeconds: 1 + chance.below(60),
           capacity: 1 + chance.below(20),
         };
-        held = bucket.relimit(held, limits, after, now);
+        state = bucket.relimit(state, limits, after, now);
         model.relimit(after, now);
         limits = after;
       } else if (kind === 2) {
-        held = bucket.restore(held, limits, now);
+        state = bucket.restore(state, limits, now);
         model.restore(now);
       } else if (kind === 3) waiting += chance.below(10);
       else {
-        const there = waiting;
+        const available = waiting;
         function take(): string | undefined {
-          return there > 0 ? "prompt" : undefined;
+          return available > 0 ? "prompt" : undefined;
         }
-        const drawn = bucket.draw(held, limits, now, take);
+        const drawn = bucket.draw(state, limits, now, take);
         const expected = model.draw(now, waiting);
         const wait = drawn.kind === "RATE_LIMITED" ? drawn.wait : undefined;
         if (drawn.kind !== expected.kind || !near(wait, expected.wait, 0.01))
@@ -139,38 +144,33 @@
             `seed ${seed} step ${step}: ${JSON.stringify(drawn)} against ${JSON.stringify(expected)}`,
           );
         if (drawn.kind === "TAKEN") {
-          held = drawn.bucket;
+          state = drawn.bucket;
           waiting -= 1;
         }
       }
-      if (!near(bucket.level(held, limits, now), model.level(now), 1e-6))
+      if (!near(bucket.level(state, limits, now), model.level(now), 1e-6))
         this.differences.push(`seed ${seed} step ${step}: level`);
     }
   }
 }
 When(
-  "each plays {int} draws, limit changes, hand-backs and clock steps on both",
-  eachPlaysDrawsLimitChangesHandBacks,
+  "each seed plays {int} draws, limit changes, returned tokens and clock steps on both",
+  playRandomSteps,
 );
 
-function everyResultWaitAndLevelIsThe(this: World): void {
+function checkNoDifferences(this: World): void {
   deepEqual(this.differences.slice(0, 5), []);
 }
-Then("every result, wait and level is the same", everyResultWaitAndLevelIsThe);
+Then("every result, wait and level is the same", checkNoDifferences);
 
-function aBucketOfTokensPerSWith(
-  this: World,
-  tokens: number,
-  windowSeconds: number,
-  capacity: number,
-) {
+function createBucket(this: World, tokens: number, windowSeconds: number, capacity: number) {
   this.limits = { tokens, windowSeconds, capacity };
   this.held = bucket.full(this.limits, 0);
   this.taken = 0;
-  this.second = 0;
+  this.repeatedLimits = 0;
   this.results = [];
 }
-Given("a bucket of {int} tokens per {int} s with a burst of {int}", aBucketOfTokensPerSWith);
+Given("a bucket of {int} tokens per {int} s with a burst of {int}", createBucket);
 
 function prompt(): string {
   return "prompt";
@@ -180,7 +180,7 @@
   return undefined;
 }
 
-function aDispatcherThatSleepsEachExactWait(this: World, seconds: number) {
+function drawWithExactWaits(this: World, seconds: number) {
   let now = 0;
   let limited = false;
   while (now < seconds * 1_000) {
@@ -190,7 +190,7 @@
       this.taken += 1;
       limited = false;
     } else if (drawn.kind === "RATE_LIMITED") {
-      if (limited) this.second += 1;
+      if (limited) this.repeatedLimits += 1;
       limited = true;
       now += drawn.wait!;
     }
@@ -198,34 +198,31 @@
 }
 When(
   "a dispatcher that sleeps each exact wait draws for {int} s of virtual time",
-  aDispatcherThatSleepsEachExactWait,
+  drawWithExactWaits,
 );
 
-function promptsWereTakenTheBurstAndThe(this: World, expected: number) {
+function checkTakenPrompts(this: World, expected: number) {
   ok(Math.abs(this.taken - expected) <= 1, `${this.taken} were taken`);
 }
-Then(
-  "{int} prompts were taken, the burst and the refill, with one to spare at most",
-  promptsWereTakenTheBurstAndThe,
-);
+Then("{int} prompts were taken, the burst and the refill, give or take one", checkTakenPrompts);
 
-function noWaitWasFollowedByASecond(this: World): void {
-  equal(this.second, 0);
+function checkNoRepeatedLimit(this: World): void {
+  equal(this.repeatedLimits, 0);
 }
-Then("no wait was followed by a second rate-limited result", noWaitWasFollowedByASecond);
+Then("no wait was followed by a second rate-limited result", checkNoRepeatedLimit);
 
-function anEmptyQueueIsAskedTimes(this: World, times: number) {
+function drawFromEmptyQueue(this: World, times: number) {
   for (let time = 0; time < times; time += 1)
     equal(bucket.draw(this.held, this.limits, time, none).kind, "EMPTY");
 }
-When("an empty queue is asked {int} times", anEmptyQueueIsAskedTimes);
+When("an empty queue is asked {int} times", drawFromEmptyQueue);
 
-function tokensAreThere(this: World, tokens: number) {
+function checkLevel(this: World, tokens: number) {
   equal(bucket.level(this.held, this.limits, 0), tokens);
 }
-Then("{int} tokens are there", tokensAreThere);
+Then("{int} tokens are left", checkLevel);
 
-function twoPromptsAreDrawn(this: World): void {
+function drawTwoPrompts(this: World): void {
   for (let time = 0; time < 2; time += 1) {
     const drawn = bucket.draw(this.held, this.limits, time, prompt);
     if (drawn.kind === "TAKEN") this.held = drawn.bucket;
@@ -235,9 +232,9 @@
     });
   }
 }
-When("two prompts are drawn", twoPromptsAreDrawn);
+When("two prompts are drawn", drawTwoPrompts);
 
-function theSecondIsRateLimitedUntilThe(this: World): void {
+function checkSecondIsLimited(this: World): void {
   deepEqual(this.results, [{ kind: "TAKEN" }, { kind: "RATE_LIMITED", wait: undefined }]);
 }
-Then("the second is rate-limited until the limit changes", theSecondIsRateLimitedUntilThe);
+Then("the second is rate-limited until the limit changes", checkSecondIsLimited);
