--- a/features/bucket.feature
+++ b/features/bucket.feature
@@ -15,7 +15,7 @@
   Scenario: an empty queue spends nothing
     Given a bucket of 20 tokens per 60 s with a burst of 20
     When an empty queue is asked 100 times
-    Then 20 tokens are left
+    Then the bucket holds 20 tokens
 
   Scenario: a rate of zero gives no wait
     Given a bucket of 0 tokens per 60 s with a burst of 1
--- a/features/steps/bucket.ts
+++ b/features/steps/bucket.ts
@@ -220,7 +220,7 @@
 function checkLevel(this: World, tokens: number) {
   equal(bucket.level(this.held, this.limits, 0), tokens);
 }
-Then("{int} tokens are left", checkLevel);
+Then("the bucket holds {int} tokens", checkLevel);
 
 function drawTwoPrompts(this: World): void {
   for (let time = 0; time < 2; time += 1) {
--- a/packages/parts/src/bucket.ts
+++ b/packages/parts/src/bucket.ts
@@ -36,7 +36,7 @@
 }
 
 /** Tokens at a given time; a clock that went back adds none. */
-function level(bucket: Bucket, limits: Limits, now: number): number {
+function tokensAt(bucket: Bucket, limits: Limits, now: number): number {
   const elapsed = Math.max(0, now - bucket.refilledAt) / 1_000;
   return Math.min(limits.capacity, bucket.tokens + elapsed * rate(limits));
 }
@@ -48,7 +48,7 @@
   now: number,
   dequeue: () => Prompt | undefined,
 ): Draw<Prompt> {
-  const tokens = level(bucket, limits, now);
+  const tokens = tokensAt(bucket, limits, now);
   if (tokens + TOKEN_TOLERANCE >= 1) {
     const prompt = dequeue();
     if (prompt === undefined) return { kind: "EMPTY" };
@@ -64,9 +64,9 @@
 }
 
 /** Changes the limits; tokens accumulated under the old ones are kept up to the new capacity. */
-function relimit(bucket: Bucket, before: Limits, after: Limits, now: number): Bucket {
+function changeLimits(bucket: Bucket, before: Limits, after: Limits, now: number): Bucket {
   return {
-    tokens: Math.min(after.capacity, level(bucket, before, now)),
+    tokens: Math.min(after.capacity, tokensAt(bucket, before, now)),
     refilledAt: Math.max(now, bucket.refilledAt),
   };
 }
@@ -74,9 +74,16 @@
 /** Returns the token of a prompt that was never sent, up to the capacity. */
 function restore(bucket: Bucket, limits: Limits, now: number): Bucket {
   return {
-    tokens: Math.min(limits.capacity, level(bucket, limits, now) + 1),
+    tokens: Math.min(limits.capacity, tokensAt(bucket, limits, now) + 1),
     refilledAt: Math.max(now, bucket.refilledAt),
   };
 }
 
-export const bucket = { full, level, draw, relimit, restore, rate };
+export const bucket = {
+  full,
+  level: tokensAt,
+  draw,
+  relimit: changeLimits,
+  restore,
+  rate,
+};
--- a/packages/parts/src/caller-limits.ts
+++ b/packages/parts/src/caller-limits.ts
@@ -12,7 +12,7 @@
   readonly idleWait: number;
 }
 
-const usual: CallerLimits = {
+const defaultLimits: CallerLimits = {
   headerBytes: constants.passHeadersMost,
   bodyBytes: constants.passBodyMost,
   headerWait: constants.passHeaderWait,
@@ -20,8 +20,8 @@
 };
 
 /** Configured limits, completed by the defaults. */
-function withUsual(configured: Partial<CallerLimits> | undefined): CallerLimits {
-  return configured === undefined ? usual : { ...usual, ...configured };
+function withDefaults(configured: Partial<CallerLimits> | undefined): CallerLimits {
+  return configured === undefined ? defaultLimits : { ...defaultLimits, ...configured };
 }
 
-export const callerLimits = { usual, withUsual };
+export const callerLimits = { usual: defaultLimits, withUsual: withDefaults };
--- a/packages/parts/src/duty-bounds.ts
+++ b/packages/parts/src/duty-bounds.ts
@@ -17,8 +17,8 @@
 const MAX_ROUND_VALIDITY_MS = 1_000;
 
 /** Validity of a round in ms from its request: far shorter than the lease, so that the next holder's round follows the call. */
-function freshFor({ lease, thawSlack }: DutyBounds): number {
+function roundValidity({ lease, thawSlack }: DutyBounds): number {
   return Math.min(MAX_ROUND_VALIDITY_MS, (lease - thawSlack) / 3);
 }
 
-export const dutyBounds = { freshFor };
+export const dutyBounds = { freshFor: roundValidity };
--- a/packages/parts/src/index.ts
+++ b/packages/parts/src/index.ts
@@ -1,3 +1,4 @@
+/** Parts shared by control machines, storage machines and access nodes. */
 export * from "./constants.js";
 export * from "./disk-health.js";
 export * from "./outcome.js";
--- a/packages/parts/src/policy.ts
+++ b/packages/parts/src/policy.ts
@@ -61,7 +61,8 @@
   readonly usageWindow?: number | undefined;
 }
 
-const usual: Policy = {
+/** Policy where a deployment sets no bounds. */
+const defaultPolicy: Policy = {
   goesOnAlone: false,
   runnerLasts: constants.runnerLasts,
   copiesLeast: constants.copiesLeast,
@@ -151,7 +152,7 @@
 }
 
 /** Derives the policy from checked bounds; a combination that cannot be met is rejected with all reasons. */
-function from(bounds: Bounds): Outcome<Policy> {
+function derivePolicy(bounds: Bounds): Outcome<Policy> {
   const found = violations(bounds);
   if (found.length > 0) return outcome.bad(found.join("; "));
   const losses = Math.max(1, bounds.losses.machines);
@@ -165,12 +166,12 @@
     controlsWanted: losses * 2 + 1,
     cancelWithin: bounds.cancelWithin,
     stopWithin: bounds.stopWithin,
-    poolRate: usual.poolRate,
-    poolBurst: usual.poolBurst,
+    poolRate: defaultPolicy.poolRate,
+    poolBurst: defaultPolicy.poolBurst,
     memory: bounds.memory,
     descriptors: bounds.descriptors,
     usageWindow: bounds.usageWindow,
   });
 }
 
-export const policy = { usual, from };
+export const policy = { usual: defaultPolicy, from: derivePolicy };
--- a/packages/parts/src/season.ts
+++ b/packages/parts/src/season.ts
@@ -74,7 +74,11 @@
 }
 
 /** The season in force for a queue: of the open ones that select it the one that started last, ties by name. */
-function deciding(seasons: readonly Season[], labels: Labels, wall: number): Season | undefined {
+function seasonInForce(
+  seasons: readonly Season[],
+  labels: Labels,
+  wall: number,
+): Season | undefined {
   for (const one of opened(seasons, wall)) if (matches(one.select, labels)) return one;
   return undefined;
 }
@@ -88,7 +92,7 @@
   count: number,
 ): number | undefined {
   for (const moment of changesAhead(seasons, labels, wall))
-    if ((deciding(seasons, labels, moment)?.waiting ?? own) >= count) return moment;
+    if ((seasonInForce(seasons, labels, moment)?.waiting ?? own) >= count) return moment;
   return undefined;
 }
 
@@ -104,7 +108,7 @@
 }
 
 /** Divides an allowance half evenly and half by need, so that every queue can begin and busy ones get more. */
-function cut(allowance: number, needs: readonly number[]): number[] {
+function divideAllowance(allowance: number, needs: readonly number[]): number[] {
   let totalNeed = 0;
   for (const need of needs) totalNeed += need;
   const shares: number[] = [];
@@ -117,4 +121,12 @@
   return shares;
 }
 
-export const season = { matches, mayMatch, opened, nextChange, deciding, roomAt, cut };
+export const season = {
+  matches,
+  mayMatch,
+  opened,
+  nextChange,
+  deciding: seasonInForce,
+  roomAt,
+  cut: divideAllowance,
+};
--- a/packages/parts/src/session.ts
+++ b/packages/parts/src/session.ts
@@ -254,6 +254,7 @@
     return true;
   }
 
+  /** Records a runner's state unless a newer one is known. */
   #recordRunner(card: RunnerCard, now: number): void {
     const heardAt = now - card.age;
     const held = this.#runners.get(card.id);
@@ -261,11 +262,13 @@
       this.#runners.set(card.id, { card, heardAt });
   }
 
+  /** Records the registry of another control machine. */
   merge(registry: RunnerRegistry, now: number, late: number): void {
     for (const { card, age } of registry.nodes) this.heard(card, now, undefined, age, late);
     for (const runner of registry.runners) this.#recordRunner(runner, now - late);
   }
 
+  /** Removes sessions and runners that have been silent for long. */
   forget(now: number): void {
     for (const [identity, session] of this.#sessions) {
       if (now - session.heardAt > constants.sessionLasts * 4 && (session.leaseUntil ?? 0) < now)
@@ -282,6 +285,7 @@
     return false;
   }
 
+  /** Nodes of a kind whose sessions have not ended. */
   live(kind: NodeCard["kind"], now: number): NodeCard[] {
     const found: NodeCard[] = [];
     for (const session of this.#sessions.values()) {
@@ -344,6 +348,7 @@
     return { nodes: reportedNodes, runners, others: this.#loadsExcept(identity, now) };
   }
 
+  /** Sums of the reported loads without those of one node. */
   #loadsExcept(identity: string, now: number): RunnerLoad[] {
     if (now - this.#summedAt >= constants.beatEvery || now < this.#summedAt) {
       this.#summedAt = now;
