--- a/packages/parts/src/chain.ts
+++ b/packages/parts/src/chain.ts
@@ -1,37 +1,59 @@
+/**
+ * Chain replication of one ledger: the head appends entries to the log, each member passes them on to its successor once they are
+ * durable, and the tail commits them (docs/design.md §1).
+ */
 import { constants } from "./constants.js";
 import { Ledger, type Change, type Machine } from "./ledger.js";
 
-/** Chain replication of one ledger: entered at the head, confirmed by the tail (docs/design.md §1). */
+/** A machine that takes part in replication. */
 export interface Member {
   readonly identity: string;
   readonly address: string;
 }
 
+/** Configuration of a chain. */
 export interface ChainView {
+  /** Epoch of the view; each view has a higher one than the view before. */
   readonly mark: number;
+  /** Replicas in chain order, from the head to the tail. */
   readonly members: readonly Member[];
-  /** Being copied to; not yet counted as a copy. */
+  /** Learner: receives a copy of the ledger, and does not count as a replica yet. */
   readonly joiner?: Member;
-  /** Who agrees on the next view, where these are not just the members (§2.3). */
+  /** Voters on the next view, if they differ from the members (docs/design.md §2.3). */
   readonly voters?: readonly Member[];
-  /** Where the members are too few to confirm: those of the last view that could, in its order. Each holds all that was confirmed (§1.5). */
+  /**
+   * Set if the members are too few to commit: the members of the last view that could, in chain order. Each of them holds all
+   * committed entries (docs/design.md §1.5).
+   */
   readonly holders?: readonly Member[];
 }
 
+/** A command in the log. */
 export interface Entry {
+  /** Log index of the entry. */
   readonly place: number;
-  /** Time of the ledger, stamped by the head (§3.2). */
+  /** Ledger time, in ms, assigned by the head (docs/design.md §3.2). */
   readonly time: number;
   readonly command: unknown;
 }
 
+/**
+ * Messages between replicas. `mark` is the epoch of the sender's view, `place` a log index, and `confirmed` the commit index of the
+ * sender.
+ */
 export type ChainMessage = { readonly chain: string; readonly mark: number } & (
   | { readonly kind: "entries"; readonly entries: readonly Entry[]; readonly confirmed: number }
+  /** Acknowledgement: the sender has all entries up to `place` synced to disk. */
   | { readonly kind: "taken"; readonly place: number; readonly confirmed: number }
+  /** All entries up to `place` are committed. */
   | { readonly kind: "confirm"; readonly place: number }
+  /** Passed along the chain to check that the view of a read is still in force. */
   | { readonly kind: "probe"; readonly number: number }
+  /** The tail's reply to a probe. */
   | { readonly kind: "probed"; readonly number: number }
+  /** Requests the entries after `place`, or a snapshot if they are no longer retained. */
   | { readonly kind: "want"; readonly place: number }
+  /** A piece of a snapshot. */
   | {
       readonly kind: "digest";
       readonly series: number;
@@ -41,33 +63,40 @@
       readonly time: number;
       readonly records: readonly Change[];
     }
-  /** A piece of a snapshot has come, so the next may follow (§1.8). */
+  /** Acknowledges a piece of a snapshot, so that the sender can send the next one (docs/design.md §1.8). */
   | { readonly kind: "digest-got"; readonly series: number; readonly part: number }
 );
 
-/** What is to be written, all of it or nothing, before `written(ticket)` is called. */
+/** An atomic write; `written(ticket)` is called when it is durable. */
 export interface ChainWrite {
+  /** Whether all earlier records and entries of the chain are deleted first. */
   readonly clear: boolean;
   readonly changes: readonly Change[];
   readonly entries: readonly Entry[];
+  /** Log indexes of the entries to delete. */
   readonly drop: readonly number[];
   readonly state: ChainState;
 }
 
+/** Replication state that is stored with each write. */
 export interface ChainState {
+  /** Log index of the last entry applied to the records. */
   readonly place: number;
+  /** Ledger time of that entry. */
   readonly time: number;
+  /** Commit index. */
   readonly confirmed: number;
   readonly view: ChainView;
 }
 
-/** What a data folder gave back for this chain. */
+/** Persisted state of a chain, as read from the data folder. */
 export interface ChainHolding {
   readonly state: ChainState;
   readonly records: readonly Change[];
   readonly entries: readonly Entry[];
 }
 
+/** Effects that the chain requests from its host. */
 export type ChainCommand =
   | { readonly kind: "send"; readonly to: string; readonly message: ChainMessage }
   | {
@@ -90,43 +119,52 @@
       readonly records: readonly Change[];
     };
 
+/** Outcome of a request. */
 export type ChainResult =
+  /** Committed; `place` is the log index that the result reflects. */
   | { readonly kind: "confirmed"; readonly place: number; readonly value: unknown }
-  /** Surely not taken: this member is not the owner now. */
+  /** Not accepted, because this replica is not the serving head. */
   | { readonly kind: "elsewhere"; readonly view: ChainView | undefined }
-  /** Taken, and what became of it cannot be said here. */
+  /** Accepted, but this replica cannot tell whether it was or will be committed. */
   | { readonly kind: "unknown" };
 
+/** A request whose result is held back until its log index is committed. */
 interface Waiter {
   readonly ticket: string;
   readonly place: number;
   readonly value: unknown;
 }
 
+/** A read that waits for its probe to pass the whole chain. */
 interface Probe extends Waiter {
   readonly number: number;
   sentAt: number;
 }
 
+/** One replica of a chain: consumes messages and completed writes, and returns the commands to perform. */
 export class Chain {
   readonly name: string;
   readonly ledger = new Ledger();
   readonly machine: Machine;
   #self: Member;
   #view: ChainView | undefined;
-  #viewSynced = 0;
-  #place = 0;
-  #synced = 0;
-  #confirmed = 0;
-  #time = 0;
-  #timeAt: number;
+  /** Epoch of the last view that is synced to disk. */
+  #durableEpoch = 0;
+  /** Index of the last entry applied to the ledger. */
+  #lastIndex = 0;
+  /** Index of the last entry that is synced to disk. */
+  #durableIndex = 0;
+  #commitIndex = 0;
+  #ledgerTime = 0;
+  #ledgerTimeSetAt: number;
   #entries: Entry[] = [];
-  #changesAt = new Map<number, readonly Change[]>();
-  #passed = 0;
-  #taken = 0;
-  #takenAt: number;
-  #progressAt: number;
-  #toldAt = 0;
+  #changesByIndex = new Map<number, readonly Change[]>();
+  /** Index of the last entry sent to the successor, and of the last that it acknowledged as durable. */
+  #sentIndex = 0;
+  #ackedIndex = 0;
+  #ackedAt: number;
+  #lastProgressAt: number;
+  #lastReportAt = 0;
   #waiters: Waiter[] = [];
   #probes = new Map<number, Probe>();
   #probeNumber = 0;
@@ -135,24 +173,25 @@
     number,
     { place: number; mark: number; at: number; whole: boolean; adopts: boolean }
   >();
-  #joinerPlace: number | undefined;
-  /** Up to where entries were sent to the joiner. */
-  #joinerPassed = 0;
-  /** While true, this tail confirms nothing that the joiner has not synced; only another view ends it (§1.6). */
-  #joinerGates = false;
-  /** The furthest place that the joiner told as synced in this view and life, and when that last went on. */
-  #joinerSynced = 0;
-  #joinerSyncedAt = 0;
-  /** How often the joiner asked while it was too far behind to gate. */
-  #joinerAsked = 0;
-  /** The furthest place that the successor told in this view, and since when. */
-  #successorPlace = 0;
-  #successorSince = 0;
-  #snapshotFor: Member | undefined;
-  #series = 0;
-  /** Pieces of a copy still to be sent, a few with each beat. */
-  #sending: Sending | undefined;
-  #parts:
+  /** Highest index known to be held by the learner, once it has requested entries or was sent a snapshot. */
+  #learnerIndex: number | undefined;
+  /** Index of the last entry sent to the learner. */
+  #learnerSentIndex = 0;
+  /** While true, this tail commits only what is durable on the learner too; only a new view resets it (docs/design.md §1.6). */
+  #learnerGatesCommit = false;
+  /** Highest index that the learner acknowledged in this view and incarnation, and when it last rose. */
+  #learnerAckedIndex = 0;
+  #learnerAckedAt = 0;
+  /** Number of catch-up requests from the learner in this view. */
+  #learnerRequests = 0;
+  /** Highest index that the successor acknowledged in this view, and when it last rose or a snapshot was last sent instead. */
+  #successorReportedIndex = 0;
+  #successorReportedAt = 0;
+  #snapshotPendingFor: Member | undefined;
+  #snapshotSeries = 0;
+  /** The snapshot that is being sent. */
+  #outgoingSnapshot: OutgoingSnapshot | undefined;
+  #incomingSnapshot:
     | {
         series: number;
         pieces: Map<number, readonly Change[]>;
@@ -160,47 +199,50 @@
         at: number;
       }
     | undefined;
-  #copiedMark = 0;
-  /** Place that a joiner's source told in this view, asked for once the copy is here: only up to there is the copy whole. */
-  #sourcePlace: number | undefined;
-  /** When this joiner last stood where its source did; a word of that is withdrawn when it grows old. */
-  #wholeAt = 0;
-  /** Entries whose changes are not at hand: the next moment without doubt is told as a whole. */
-  #gap = false;
+  #copiedEpoch = 0;
+  /**
+   * On a learner: index that its source reported in this view, requested once the snapshot is stored. The copy is complete when it
+   * has reached this index.
+   */
+  #sourceIndex: number | undefined;
+  /** When this learner was last known to be caught up with its source; expires if it is not renewed. */
+  #caughtUpAt = 0;
+  /** Set if the changes of some entries are unknown, so that all records are published as a whole at the next consistent state. */
+  #needsFullPublish = false;
 
-  /** Copies on which anything must be synced before it is confirmed: one more than may be lost at once (§13.3). */
-  #least: number;
+  /** Replicas on which an entry must be durable to be committed: one more than may be lost at once (docs/design.md §13.3). */
+  #minimumCopies: number;
 
   constructor(
     name: string,
     self: Member,
     machine: Machine,
     now: number,
-    holding?: ChainHolding,
-    least: number = constants.copiesLeast,
+    persisted?: ChainHolding,
+    minimumCopies: number = constants.copiesLeast,
   ) {
-    this.#least = least;
+    this.#minimumCopies = minimumCopies;
     this.name = name;
     this.#self = self;
     this.machine = machine;
-    this.#timeAt = now;
-    this.#takenAt = now;
-    this.#progressAt = now;
-    if (holding !== undefined) {
-      this.ledger.adopt(holding.records);
-      this.#view = holding.state.view;
-      this.#viewSynced = holding.state.view.mark;
-      this.#place = holding.state.place;
-      this.#synced = holding.state.place;
-      this.#confirmed = holding.state.confirmed;
-      this.#time = holding.state.time;
-      this.#entries = holding.entries.filter(isAfter, { place: holding.state.confirmed });
-      this.#passed = this.#confirmed;
-      this.#taken = this.#confirmed;
-      this.#gap = this.#place > this.#confirmed || this.position < 0;
-      /** The life before may have told the joiner a place, so that it counts as whole. */
-      this.#joinerGates = this.#isTail && holding.state.view.joiner !== undefined;
-      this.#joinerSyncedAt = now;
+    this.#ledgerTimeSetAt = now;
+    this.#ackedAt = now;
+    this.#lastProgressAt = now;
+    if (persisted !== undefined) {
+      this.ledger.adopt(persisted.records);
+      this.#view = persisted.state.view;
+      this.#durableEpoch = persisted.state.view.mark;
+      this.#lastIndex = persisted.state.place;
+      this.#durableIndex = persisted.state.place;
+      this.#commitIndex = persisted.state.confirmed;
+      this.#ledgerTime = persisted.state.time;
+      this.#entries = persisted.entries.filter(isAfter, { place: persisted.state.confirmed });
+      this.#sentIndex = this.#commitIndex;
+      this.#ackedIndex = this.#commitIndex;
+      this.#needsFullPublish = this.#lastIndex > this.#commitIndex || this.position < 0;
+      // The previous incarnation may have reported an index to the learner, which then counts its copy as complete.
+      this.#learnerGatesCommit = this.#isTail && persisted.state.view.joiner !== undefined;
+      this.#learnerAckedAt = now;
     }
     machine.rebuild(this.ledger);
   }
@@ -208,32 +250,35 @@
   get view(): ChainView | undefined {
     return this.#view;
   }
+  /** Index of the last log entry applied here. */
   get place(): number {
-    return this.#place;
+    return this.#lastIndex;
   }
+  /** Commit index as known here. */
   get confirmed(): number {
-    return this.#confirmed;
+    return this.#commitIndex;
   }
-  /** Mark of the view in which this joiner holds a whole synced copy, or 0. */
+  /** Epoch of the view in which this learner holds a complete durable copy, or 0. */
   get copiedMark(): number {
-    return this.#copiedMark;
+    return this.#copiedEpoch;
   }
 
+  /** Position in the chain, 0 for the head, or -1 if this replica is not a member. */
   get position(): number {
     return this.#view === undefined ? -1 : positionOf(this.#view, this.#self);
   }
 
   get isHead(): boolean {
-    return this.position === 0 && this.#ready;
+    return this.position === 0 && this.#isViewDurable;
   }
 
-  /** Owner with enough copies to confirm anything. */
+  /** Whether this replica is the head of a chain that has enough members to commit. */
   get serves(): boolean {
-    return this.isHead && this.#view!.members.length >= this.#least;
+    return this.isHead && this.#view!.members.length >= this.#minimumCopies;
   }
 
-  get #ready(): boolean {
-    return this.#view !== undefined && this.#viewSynced === this.#view.mark;
+  get #isViewDurable(): boolean {
+    return this.#view !== undefined && this.#durableEpoch === this.#view.mark;
   }
 
   get #isTail(): boolean {
@@ -245,12 +290,12 @@
     return position < 0 ? undefined : this.#view!.members[position + 1];
   }
 
-  /** Ledger time goes on with the monotonic clock only, so no clock step refills a bucket (§3.2). */
+  /** Ledger time, which advances with the monotonic clock only, so that no clock step refills a token bucket (docs/design.md §3.2). */
   time(now: number): number {
-    return this.#time + Math.max(0, now - this.#timeAt);
+    return this.#ledgerTime + Math.max(0, now - this.#ledgerTimeSetAt);
   }
 
-  /** A successor that holds this chain up, or this member itself by its own disk (§3.4). */
+  /** The replica that slows the chain down: the successor, the learner, or this replica because of its disk (docs/design.md §3.4). */
   stuck(now: number): Member | undefined {
     for (const write of this.#writes.values()) {
       if (now - write.at > constants.slowAfter) return this.#self;
@@ -258,54 +303,54 @@
     const successor = this.#successor;
     if (
       successor !== undefined &&
-      this.#taken < this.#passed &&
-      now - this.#takenAt > constants.slowAfter
+      this.#ackedIndex < this.#sentIndex &&
+      now - this.#ackedAt > constants.slowAfter
     )
       return successor;
     if (
-      this.#joinerGates &&
-      this.#joinerSynced < this.#synced &&
-      this.#confirmed < this.#synced &&
-      now - this.#joinerSyncedAt > constants.slowAfter
+      this.#learnerGatesCommit &&
+      this.#learnerAckedIndex < this.#durableIndex &&
+      this.#commitIndex < this.#durableIndex &&
+      now - this.#learnerAckedAt > constants.slowAfter
     )
       return this.#view!.joiner;
     return undefined;
   }
 
-  /** A new view ends service in the old at once; service in the new begins when the view is synced (§1.3). */
+  /** Stops serving in the old view at once; serving in the new view begins when the view is durable (docs/design.md §1.3). */
   adopt(view: ChainView, now: number): ChainCommand[] {
     if (this.#view !== undefined && view.mark <= this.#view.mark) return [];
-    const before = this.#view;
+    const previous = this.#view;
     const commands: ChainCommand[] = [];
     this.#view = view;
     for (const probe of this.#probes.values())
       commands.push({ kind: "result", ticket: probe.ticket, result: { kind: "unknown" } });
     this.#probes.clear();
     if (positionOf(view, this.#self) !== 0) commands.push(...this.#abandonWaiters());
-    /** A former member may hold entries that no later view knows; only a copy begun anew is sure (§1.4, §1.5). */
+    // A former member may hold entries that no later view contains, so it starts again from an empty copy.
     const clear =
-      before !== undefined &&
-      this.#place > 0 &&
-      !holds(view, this.#self) &&
-      !copiedOn(before, view, this.#self);
-    if (clear) this.#forget(now);
-    if (!isSame(before?.joiner, this.#successor)) this.#joinerPlace = undefined;
-    this.#passed =
-      this.#joinerPlace === undefined
-        ? this.#confirmed
-        : Math.min(this.#confirmed, this.#joinerPlace);
-    this.#taken = this.#passed;
-    this.#joinerPlace = undefined;
-    this.#joinerGates = false;
-    this.#joinerSynced = 0;
-    this.#joinerAsked = 0;
-    this.#snapshotFor = undefined;
-    this.#sending = undefined;
-    this.#parts = undefined;
-    this.#sourcePlace = undefined;
-    this.#successorPlace = 0;
-    this.#takenAt = now;
-    this.#progressAt = now;
+      previous !== undefined &&
+      this.#lastIndex > 0 &&
+      !countsOnCopy(view, this.#self) &&
+      !continuesLearnerCopy(previous, view, this.#self);
+    if (clear) this.#discardCopy(now);
+    if (!isSameMember(previous?.joiner, this.#successor)) this.#learnerIndex = undefined;
+    this.#sentIndex =
+      this.#learnerIndex === undefined
+        ? this.#commitIndex
+        : Math.min(this.#commitIndex, this.#learnerIndex);
+    this.#ackedIndex = this.#sentIndex;
+    this.#learnerIndex = undefined;
+    this.#learnerGatesCommit = false;
+    this.#learnerAckedIndex = 0;
+    this.#learnerRequests = 0;
+    this.#snapshotPendingFor = undefined;
+    this.#outgoingSnapshot = undefined;
+    this.#incomingSnapshot = undefined;
+    this.#sourceIndex = undefined;
+    this.#successorReportedIndex = 0;
+    this.#ackedAt = now;
+    this.#lastProgressAt = now;
     commands.push(this.#write(clear, [], [], [], now));
     return commands;
   }
@@ -318,18 +363,18 @@
     return commands;
   }
 
-  #forget(now: number): void {
+  #discardCopy(now: number): void {
     this.ledger.clear();
     this.machine.rebuild(this.ledger);
     this.#entries = [];
-    this.#changesAt.clear();
-    this.#place = 0;
-    this.#synced = 0;
-    this.#confirmed = 0;
-    this.#time = 0;
-    this.#timeAt = now;
-    this.#copiedMark = 0;
-    this.#gap = true;
+    this.#changesByIndex.clear();
+    this.#lastIndex = 0;
+    this.#durableIndex = 0;
+    this.#commitIndex = 0;
+    this.#ledgerTime = 0;
+    this.#ledgerTimeSetAt = now;
+    this.#copiedEpoch = 0;
+    this.#needsFullPublish = true;
   }
 
   #write(
@@ -341,16 +386,16 @@
   ): ChainCommand {
     this.#writeNumber += 1;
     this.#writes.set(this.#writeNumber, {
-      place: this.#place,
+      place: this.#lastIndex,
       mark: this.#view!.mark,
       at: now,
       whole: clear,
       adopts: changes.length + entries.length + drop.length === 0,
     });
     const state: ChainState = {
-      place: this.#place,
-      time: this.#time,
-      confirmed: this.#confirmed,
+      place: this.#lastIndex,
+      time: this.#ledgerTime,
+      confirmed: this.#commitIndex,
       view: this.#view!,
     };
     return {
@@ -361,7 +406,7 @@
     };
   }
 
-  #send(to: Member, message: DistributiveBare): ChainCommand {
+  #send(to: Member, message: MessageBody): ChainCommand {
     return {
       kind: "send",
       to: to.address,
@@ -369,7 +414,7 @@
     };
   }
 
-  /** A request at the owner: an entry where it changes records, else a read that probes the whole chain. */
+  /** Executes a request at the head: one that changes records becomes a log entry, any other is a read that probes the whole chain. */
   inquire(ticket: string, command: unknown, now: number): ChainCommand[] {
     if (!this.serves)
       return [{ kind: "result", ticket, result: { kind: "elsewhere", view: this.#view } }];
@@ -380,7 +425,7 @@
       this.#probeNumber += 1;
       const probe: Probe = {
         ticket,
-        place: this.#place,
+        place: this.#lastIndex,
         value,
         number: this.#probeNumber,
         sentAt: now,
@@ -388,56 +433,62 @@
       this.#probes.set(probe.number, probe);
       return [this.#send(this.#successor!, { kind: "probe", number: probe.number })];
     }
-    this.#place += 1;
-    const entry: Entry = { place: this.#place, time, command };
+    this.#lastIndex += 1;
+    const entry: Entry = { place: this.#lastIndex, time, command };
     this.#waiters.push({ ticket, place: entry.place, value });
     return [this.#append(entry, changes, now)];
   }
 
   #append(entry: Entry, changes: readonly Change[], now: number): ChainCommand {
-    this.#time = entry.time;
-    this.#timeAt = now;
-    if (this.#entries.length === 0) this.#progressAt = now;
+    this.#ledgerTime = entry.time;
+    this.#ledgerTimeSetAt = now;
+    if (this.#entries.length === 0) this.#lastProgressAt = now;
     this.#entries.push(entry);
-    this.#changesAt.set(entry.place, changes);
+    this.#changesByIndex.set(entry.place, changes);
     return this.#write(false, changes, [entry], this.#prune(), now);
   }
 
-  /** Confirmed entries leave memory and disk, but for those a joiner may still miss. */
+  /** Drops committed entries that the learner no longer needs from memory; returns their indexes, to be deleted from disk too. */
   #prune(): number[] {
-    const floor = Math.min(this.#confirmed, this.#joinerPlace ?? this.#confirmed);
+    const floor = Math.min(this.#commitIndex, this.#learnerIndex ?? this.#commitIndex);
     const dropped: number[] = [];
     while (this.#entries.length > 0 && this.#entries[0]!.place <= floor)
       dropped.push(this.#entries.shift()!.place);
     return dropped;
   }
 
+  /** Called when the write with this ticket is durable. */
   written(ticket: number, now: number): ChainCommand[] {
     const write = this.#writes.get(ticket);
     if (write === undefined) return [];
     this.#writes.delete(ticket);
-    this.#viewSynced = Math.max(this.#viewSynced, write.mark);
-    if (write.place > this.#synced && write.place <= this.#place) this.#synced = write.place;
-    if (!this.#ready) return [];
+    this.#durableEpoch = Math.max(this.#durableEpoch, write.mark);
+    if (write.place > this.#durableIndex && write.place <= this.#lastIndex)
+      this.#durableIndex = write.place;
+    if (!this.#isViewDurable) return [];
     const commands: ChainCommand[] = [];
-    commands.push(...this.#pass(now));
-    if (isSame(this.#view!.joiner, this.#self)) {
-      this.#countCopy(now);
-      if ((write.whole && this.#place > 0) || write.adopts)
-        commands.push(this.#send(this.#source!, { kind: "want", place: this.#place }));
+    commands.push(...this.#propagate(now));
+    if (isSameMember(this.#view!.joiner, this.#self)) {
+      this.#updateCopyStatus(now);
+      if ((write.whole && this.#lastIndex > 0) || write.adopts)
+        commands.push(this.#send(this.#source!, { kind: "want", place: this.#lastIndex }));
     }
     return commands;
   }
 
-  /** Passes on what is synced here: to the successor, or as the tail's word to all. */
-  #pass(now: number): ChainCommand[] {
+  /** Propagates what is durable here: acknowledges it upstream, and sends it to the successor or, as the tail, commits it. */
+  #propagate(now: number): ChainCommand[] {
     const commands: ChainCommand[] = [];
     const view = this.#view!;
     const position = this.position;
     if (position < 0) {
-      if (isSame(view.joiner, this.#self) && view.members.length > 0)
+      if (isSameMember(view.joiner, this.#self) && view.members.length > 0)
         commands.push(
-          this.#send(view.members.at(-1)!, { kind: "taken", place: this.#synced, confirmed: 0 }),
+          this.#send(view.members.at(-1)!, {
+            kind: "taken",
+            place: this.#durableIndex,
+            confirmed: 0,
+          }),
         );
       return commands;
     }
@@ -445,49 +496,52 @@
       commands.push(
         this.#send(view.members[position - 1]!, {
           kind: "taken",
-          place: this.#synced,
-          confirmed: this.#confirmed,
+          place: this.#durableIndex,
+          confirmed: this.#commitIndex,
         }),
       );
     const successor = this.#successor;
-    if (successor !== undefined) commands.push(...this.#sendEntries(successor, this.#passed, now));
-    else commands.push(...this.#confirmAsTail(now));
-    commands.push(...this.#restore());
-    if (this.#snapshotFor !== undefined && this.#synced === this.#place)
-      commands.push(...this.#sendSnapshot(this.#snapshotFor, now));
+    if (successor !== undefined)
+      commands.push(...this.#sendEntries(successor, this.#sentIndex, now));
+    else commands.push(...this.#commitAsTail(now));
+    commands.push(...this.#publishAll());
+    if (this.#snapshotPendingFor !== undefined && this.#durableIndex === this.#lastIndex)
+      commands.push(...this.#sendSnapshot(this.#snapshotPendingFor, now));
     return commands;
   }
 
-  /** The tail confirms what is synced here, and at the joiner too once that counts as whole. */
-  #confirmAsTail(now: number): ChainCommand[] {
+  /** Commits what is durable on this tail and, once the learner counts as complete, on the learner too. */
+  #commitAsTail(now: number): ChainCommand[] {
     const view = this.#view!;
-    const upTo = this.#joinerGates ? Math.min(this.#synced, this.#joinerSynced) : this.#synced;
-    if (upTo <= this.#confirmed || view.members.length < this.#least) return [];
-    const commands = this.#confirm(upTo, now);
+    const upTo = this.#learnerGatesCommit
+      ? Math.min(this.#durableIndex, this.#learnerAckedIndex)
+      : this.#durableIndex;
+    if (upTo <= this.#commitIndex || view.members.length < this.#minimumCopies) return [];
+    const commands = this.#commit(upTo, now);
     for (const member of view.members)
-      if (!isSame(member, this.#self))
-        commands.push(this.#send(member, { kind: "confirm", place: this.#confirmed }));
+      if (!isSameMember(member, this.#self))
+        commands.push(this.#send(member, { kind: "confirm", place: this.#commitIndex }));
     return commands;
   }
 
   #sendEntries(to: Member, after: number, now: number): ChainCommand[] {
     const entries = this.#entriesAfter(after);
     if (entries.length === 0) return [];
-    if (this.#taken >= this.#passed) this.#takenAt = now;
-    this.#passed = Math.max(this.#passed, entries.at(-1)!.place);
-    return [this.#send(to, { kind: "entries", entries, confirmed: this.#confirmed })];
+    if (this.#ackedIndex >= this.#sentIndex) this.#ackedAt = now;
+    this.#sentIndex = Math.max(this.#sentIndex, entries.at(-1)!.place);
+    return [this.#send(to, { kind: "entries", entries, confirmed: this.#commitIndex })];
   }
 
-  /** What is synced here after a place, as much as goes into one message, and one entry at least (§1.7). */
+  /** Durable entries after an index, up to the size limit of a message but at least one (docs/design.md §1.7). */
   #entriesAfter(after: number): Entry[] {
     const entries: Entry[] = [];
-    let weight = 0;
+    let bytes = 0;
     for (const entry of this.#entries) {
-      if (entry.place <= after || entry.place > this.#synced) continue;
-      weight += weightOf(entry.command);
+      if (entry.place <= after || entry.place > this.#durableIndex) continue;
+      bytes += estimateBytes(entry.command);
       if (
         entries.length === constants.entriesInMessage ||
-        (entries.length > 0 && weight > constants.messageWeight)
+        (entries.length > 0 && bytes > constants.messageWeight)
       )
         break;
       entries.push(entry);
@@ -495,20 +549,21 @@
     return entries;
   }
 
-  #confirm(place: number, now: number): ChainCommand[] {
-    if (place <= this.#confirmed) return [];
+  /** Raises the commit index, and completes the requests that waited for it. */
+  #commit(newCommitIndex: number, now: number): ChainCommand[] {
+    if (newCommitIndex <= this.#commitIndex) return [];
     const commands: ChainCommand[] = [];
-    for (let at = this.#confirmed + 1; at <= place; at += 1) {
-      const changes = this.#changesAt.get(at);
-      this.#changesAt.delete(at);
-      if (changes === undefined) this.#gap = true;
-      else if (!this.#gap)
-        commands.push({ kind: "confirmed", chain: this.name, place: at, changes });
+    for (let index = this.#commitIndex + 1; index <= newCommitIndex; index += 1) {
+      const changes = this.#changesByIndex.get(index);
+      this.#changesByIndex.delete(index);
+      if (changes === undefined) this.#needsFullPublish = true;
+      else if (!this.#needsFullPublish)
+        commands.push({ kind: "confirmed", chain: this.name, place: index, changes });
     }
-    this.#confirmed = place;
-    commands.push(...this.#restore());
-    this.#progressAt = now;
-    while (this.#waiters.length > 0 && this.#waiters[0]!.place <= place) {
+    this.#commitIndex = newCommitIndex;
+    commands.push(...this.#publishAll());
+    this.#lastProgressAt = now;
+    while (this.#waiters.length > 0 && this.#waiters[0]!.place <= newCommitIndex) {
       const waiter = this.#waiters.shift()!;
       commands.push({
         kind: "result",
@@ -516,159 +571,172 @@
         result: { kind: "confirmed", place: waiter.place, value: waiter.value },
       });
     }
-    const joiner = this.#view!.joiner;
-    if (this.#isTail && joiner !== undefined && this.#joinerPlace !== undefined) {
-      commands.push(...this.#sendJoiner(joiner));
+    const learner = this.#view!.joiner;
+    if (this.#isTail && learner !== undefined && this.#learnerIndex !== undefined) {
+      commands.push(...this.#sendEntriesToLearner(learner));
     }
     return commands;
   }
 
-  /** From a place on, message by message as each is taken; that does not make the successor any less slow (§3.4). */
-  #sendAgain(to: Member, after: number, now: number): ChainCommand[] {
-    const since = this.#taken < this.#passed ? this.#takenAt : now;
-    this.#passed = after;
+  /** Resends entries after an index, message by message as each is acknowledged; does not restart the timer of a slow successor. */
+  #resendEntries(to: Member, after: number, now: number): ChainCommand[] {
+    const since = this.#ackedIndex < this.#sentIndex ? this.#ackedAt : now;
+    this.#sentIndex = after;
     const commands = this.#sendEntries(to, after, now);
-    this.#takenAt = since;
+    this.#ackedAt = since;
     return commands;
   }
 
-  #sendJoiner(joiner: Member): ChainCommand[] {
-    const entries = this.#entriesAfter(this.#joinerPassed);
+  #sendEntriesToLearner(learner: Member): ChainCommand[] {
+    const entries = this.#entriesAfter(this.#learnerSentIndex);
     if (entries.length === 0) return [];
-    this.#joinerPassed = entries.at(-1)!.place;
-    return [this.#send(joiner, { kind: "entries", entries, confirmed: this.#confirmed })];
+    this.#learnerSentIndex = entries.at(-1)!.place;
+    return [this.#send(learner, { kind: "entries", entries, confirmed: this.#commitIndex })];
   }
 
-  /** What was copied, or stood on disk without its changes, is told as a whole once a view that confirms holds all of it. */
-  #restore(): ChainCommand[] {
+  /** Publishes all records, if the changes of some entries are unknown, once all of them are committed in a view that can commit. */
+  #publishAll(): ChainCommand[] {
     const view = this.#view!;
     if (
-      !this.#gap ||
-      this.#confirmed !== this.#place ||
+      !this.#needsFullPublish ||
+      this.#commitIndex !== this.#lastIndex ||
       this.position < 0 ||
-      view.members.length < this.#least
+      view.members.length < this.#minimumCopies
     )
       return [];
-    this.#gap = false;
+    this.#needsFullPublish = false;
     return [
-      { kind: "restored", chain: this.name, place: this.#place, records: this.ledger.snapshot() },
+      {
+        kind: "restored",
+        chain: this.name,
+        place: this.#lastIndex,
+        records: this.ledger.snapshot(),
+      },
     ];
   }
 
-  /** A joiner's copy counts when it has reached the place where its source stood after the copying. */
-  #countCopy(now: number): void {
+  /** Marks a learner's copy as complete when it has reached the index that its source reported after the snapshot. */
+  #updateCopyStatus(now: number): void {
     if (
-      this.#sourcePlace === undefined ||
-      this.#synced < this.#sourcePlace ||
-      this.#parts !== undefined
+      this.#sourceIndex === undefined ||
+      this.#durableIndex < this.#sourceIndex ||
+      this.#incomingSnapshot !== undefined
     )
       return;
-    this.#copiedMark = this.#view!.mark;
-    this.#wholeAt = now;
+    this.#copiedEpoch = this.#view!.mark;
+    this.#caughtUpAt = now;
   }
 
   receive(message: ChainMessage, from: string, now: number): ChainCommand[] {
     const view = this.#view;
-    if (view === undefined || message.mark !== view.mark || !this.#ready) return [];
+    if (view === undefined || message.mark !== view.mark || !this.#isViewDurable) return [];
     switch (message.kind) {
       case "entries":
         return this.#receiveEntries(message.entries, from, now);
       case "taken":
-        return this.#receiveTaken(message.place, message.confirmed, from, now);
+        return this.#receiveAck(message.place, message.confirmed, from, now);
       case "confirm":
-        return this.#confirm(Math.min(message.place, this.#place), now);
+        return this.#commit(Math.min(message.place, this.#lastIndex), now);
       case "probe":
         return this.#receiveProbe(message.number);
       case "probed":
-        return this.#receiveProbed(message.number);
+        return this.#receiveProbeReply(message.number);
       case "want":
-        return this.#receiveWant(message.place, from, now);
+        return this.#receiveEntriesRequest(message.place, from, now);
       case "digest":
         return this.#receiveSnapshot(message, from, now);
       case "digest-got":
-        return this.#receiveGot(message.series, message.part, from, now);
+        return this.#receivePieceAck(message.series, message.part, from, now);
     }
   }
 
-  /** The member this one takes entries from: its predecessor, or for a joiner the tail. */
+  /** The replica that sends entries to this one: its predecessor, or the tail for a learner. */
   get #source(): Member | undefined {
     const view = this.#view;
     if (view === undefined) return undefined;
     const position = this.position;
     if (position > 0) return view.members[position - 1];
-    return position < 0 && isSame(view.joiner, this.#self) ? view.members.at(-1) : undefined;
+    return position < 0 && isSameMember(view.joiner, this.#self) ? view.members.at(-1) : undefined;
   }
 
   #receiveEntries(entries: readonly Entry[], from: string, now: number): ChainCommand[] {
     const source = this.#source;
     if (source === undefined || source.address !== from) return [];
-    /** While a copy is on its way, what follows it is asked for afterwards. */
-    if (this.#parts !== undefined || (this.#place === 0 && isSame(this.#view!.joiner, this.#self)))
+    // While a snapshot is being received, later entries are ignored; they are requested after it.
+    if (
+      this.#incomingSnapshot !== undefined ||
+      (this.#lastIndex === 0 && isSameMember(this.#view!.joiner, this.#self))
+    )
       return [];
     const commands: ChainCommand[] = [];
     for (const entry of entries) {
-      if (entry.place <= this.#place) continue;
-      if (entry.place > this.#place + 1)
-        return [...commands, this.#send(source, { kind: "want", place: this.#place })];
+      if (entry.place <= this.#lastIndex) continue;
+      if (entry.place > this.#lastIndex + 1)
+        return [...commands, this.#send(source, { kind: "want", place: this.#lastIndex })];
       this.machine.apply(this.ledger, entry.command, entry.time);
-      this.#place = entry.place;
+      this.#lastIndex = entry.place;
       commands.push(this.#append(entry, this.ledger.takeChanges(), now));
     }
     if (commands.length === 0) {
       commands.push(
-        this.#send(source, { kind: "taken", place: this.#synced, confirmed: this.#confirmed }),
+        this.#send(source, {
+          kind: "taken",
+          place: this.#durableIndex,
+          confirmed: this.#commitIndex,
+        }),
       );
       if (this.#isTail)
         for (const member of this.#view!.members)
-          if (!isSame(member, this.#self))
-            commands.push(this.#send(member, { kind: "confirm", place: this.#confirmed }));
+          if (!isSameMember(member, this.#self))
+            commands.push(this.#send(member, { kind: "confirm", place: this.#commitIndex }));
     }
     return commands;
   }
 
-  #receiveTaken(place: number, confirmed: number, from: string, now: number): ChainCommand[] {
+  #receiveAck(ackedIndex: number, commitIndex: number, from: string, now: number): ChainCommand[] {
     const view = this.#view!;
     if (view.joiner !== undefined && view.joiner.address === from && this.#isTail)
-      return this.#receiveTakenByJoiner(view.joiner, place, now);
-    if (isSame(view.joiner, this.#self) && this.#source!.address === from) {
-      this.#sourcePlace = place;
-      this.#countCopy(now);
+      return this.#receiveLearnerAck(view.joiner, ackedIndex, now);
+    if (isSameMember(view.joiner, this.#self) && this.#source!.address === from) {
+      this.#sourceIndex = ackedIndex;
+      this.#updateCopyStatus(now);
       return [];
     }
     if (this.#successor?.address !== from) return [];
-    if (place > this.#taken) {
-      this.#taken = place;
-      this.#takenAt = now;
+    if (ackedIndex > this.#ackedIndex) {
+      this.#ackedIndex = ackedIndex;
+      this.#ackedAt = now;
     }
-    if (place > this.#successorPlace) {
-      this.#successorPlace = place;
-      this.#successorSince = now;
+    if (ackedIndex > this.#successorReportedIndex) {
+      this.#successorReportedIndex = ackedIndex;
+      this.#successorReportedAt = now;
     }
-    /** It stands where entries are gone, and says so again and again: nothing else would ever make it ask. */
+    // The successor keeps reporting an index whose next entries are no longer retained. It sees no gap, so it never requests a
+    // snapshot by itself.
     if (
-      place === this.#successorPlace &&
-      place + 1 < this.#firstKept &&
-      this.#sending === undefined &&
-      now - this.#successorSince > constants.resendAfter * 2
+      ackedIndex === this.#successorReportedIndex &&
+      ackedIndex + 1 < this.#firstRetainedIndex &&
+      this.#outgoingSnapshot === undefined &&
+      now - this.#successorReportedAt > constants.resendAfter * 2
     ) {
-      this.#successorSince = now;
-      return this.#receiveWant(place, from, now);
+      this.#successorReportedAt = now;
+      return this.#receiveEntriesRequest(ackedIndex, from, now);
     }
-    const commands = this.#confirm(Math.min(confirmed, this.#place), now);
-    if (this.#synced > this.#passed)
-      commands.push(...this.#sendEntries(this.#successor, this.#passed, now));
+    const commands = this.#commit(Math.min(commitIndex, this.#lastIndex), now);
+    if (this.#durableIndex > this.#sentIndex)
+      commands.push(...this.#sendEntries(this.#successor, this.#sentIndex, now));
     return commands;
   }
 
-  #receiveTakenByJoiner(joiner: Member, place: number, now: number): ChainCommand[] {
-    if (place > this.#joinerSynced) {
-      this.#joinerSynced = place;
-      this.#joinerSyncedAt = now;
+  #receiveLearnerAck(learner: Member, ackedIndex: number, now: number): ChainCommand[] {
+    if (ackedIndex > this.#learnerAckedIndex) {
+      this.#learnerAckedIndex = ackedIndex;
+      this.#learnerAckedAt = now;
     }
-    const commands = this.#confirmAsTail(now);
-    if (this.#joinerPlace === undefined) return commands;
-    this.#joinerPlace = Math.max(this.#joinerPlace, place);
-    return [...commands, ...this.#sendJoiner(joiner)];
+    const commands = this.#commitAsTail(now);
+    if (this.#learnerIndex === undefined) return commands;
+    this.#learnerIndex = Math.max(this.#learnerIndex, ackedIndex);
+    return [...commands, ...this.#sendEntriesToLearner(learner)];
   }
 
   #receiveProbe(number: number): ChainCommand[] {
@@ -678,14 +746,14 @@
     return [this.#send(this.#view!.members[0]!, { kind: "probed", number })];
   }
 
-  #receiveProbed(number: number): ChainCommand[] {
+  #receiveProbeReply(number: number): ChainCommand[] {
     const probe = this.#probes.get(number);
     if (probe === undefined) return [];
     this.#probes.delete(number);
-    /** What the read saw must be confirmed before it is told. */
-    if (probe.place > this.#confirmed) {
+    // The state that the read saw must be committed before its result is returned.
+    if (probe.place > this.#commitIndex) {
       this.#waiters.push({ ticket: probe.ticket, place: probe.place, value: probe.value });
-      this.#waiters.sort(byPlace);
+      this.#waiters.sort(byLogIndex);
       return [];
     }
     return [
@@ -697,128 +765,157 @@
     ];
   }
 
-  get #firstKept(): number {
-    return this.#entries[0]?.place ?? this.#place + 1;
+  get #firstRetainedIndex(): number {
+    return this.#entries[0]?.place ?? this.#lastIndex + 1;
   }
 
-  #receiveWant(asked: number, from: string, now: number): ChainCommand[] {
+  #receiveEntriesRequest(requestedIndex: number, from: string, now: number): ChainCommand[] {
     const view = this.#view!;
-    const joiner = this.#isTail && view.joiner?.address === from ? view.joiner : undefined;
-    /** What it told as synced since may have overtaken its asking. */
-    const place = joiner === undefined ? asked : Math.max(asked, this.#joinerSynced);
-    const asker = joiner ?? (this.#successor?.address === from ? this.#successor : undefined);
-    if (asker === undefined) return [];
-    if (place > 0 && place + 1 >= this.#firstKept && place <= this.#place) {
-      return joiner === undefined
-        ? this.#sendAgain(asker, place, now)
-        : this.#bringUp(joiner, place, now);
+    const learner = this.#isTail && view.joiner?.address === from ? view.joiner : undefined;
+    // The learner may have acknowledged a higher index since it sent this request.
+    const afterIndex =
+      learner === undefined ? requestedIndex : Math.max(requestedIndex, this.#learnerAckedIndex);
+    const requester = learner ?? (this.#successor?.address === from ? this.#successor : undefined);
+    if (requester === undefined) return [];
+    if (
+      afterIndex > 0 &&
+      afterIndex + 1 >= this.#firstRetainedIndex &&
+      afterIndex <= this.#lastIndex
+    ) {
+      return learner === undefined
+        ? this.#resendEntries(requester, afterIndex, now)
+        : this.#catchUpLearner(learner, afterIndex, now);
     }
-    if (this.#synced < this.#place) {
-      this.#snapshotFor = asker;
+    if (this.#durableIndex < this.#lastIndex) {
+      this.#snapshotPendingFor = requester;
       return [];
     }
-    return this.#sendSnapshot(asker, now);
+    return this.#sendSnapshot(requester, now);
   }
 
   /**
-   * What a joiner misses, and the place where this tail stands. On that word the joiner counts itself as whole as soon as it has
-   * reached the place, so from then on nothing is confirmed here that it has not synced: whatever the next view confirms, the joiner
-   * holds all that this one confirmed (§1.6). One that is far behind gets entries first, so that it does not hold the chain up.
+   * Sends a learner the entries that it misses, and then the durable index of this tail. The learner counts its copy as complete as
+   * soon as it has reached that index, so from then on this tail commits only what is durable on the learner: the learner then holds
+   * everything that this view commits, whatever the next view is (docs/design.md §1.6). A learner that is far behind gets only
+   * entries at first, so that it does not slow the chain down.
    */
-  #bringUp(joiner: Member, place: number, now: number): ChainCommand[] {
-    this.#joinerPlace = place;
-    /** A place that it holds without having told it as synced is sent again, which makes it tell. */
-    this.#joinerPassed = Math.min(place, Math.max(this.#joinerSynced, this.#firstKept - 1));
-    const sent = this.#sendJoiner(joiner);
-    this.#joinerAsked += 1;
-    const isNear = this.#joinerPassed >= this.#synced || this.#joinerAsked > constants.joinerAsks;
-    if (!isNear && !this.#joinerGates) return sent;
-    if (!this.#joinerGates) this.#joinerSyncedAt = now;
-    this.#joinerGates = true;
+  #catchUpLearner(learner: Member, afterIndex: number, now: number): ChainCommand[] {
+    this.#learnerIndex = afterIndex;
+    // Entries that the learner holds but has not acknowledged are sent again, which makes it acknowledge them.
+    this.#learnerSentIndex = Math.min(
+      afterIndex,
+      Math.max(this.#learnerAckedIndex, this.#firstRetainedIndex - 1),
+    );
+    const sent = this.#sendEntriesToLearner(learner);
+    this.#learnerRequests += 1;
+    const isCloseBehind =
+      this.#learnerSentIndex >= this.#durableIndex || this.#learnerRequests > constants.joinerAsks;
+    if (!isCloseBehind && !this.#learnerGatesCommit) return sent;
+    if (!this.#learnerGatesCommit) this.#learnerAckedAt = now;
+    this.#learnerGatesCommit = true;
     return [
       ...sent,
-      this.#send(joiner, { kind: "taken", place: this.#synced, confirmed: this.#confirmed }),
+      this.#send(learner, {
+        kind: "taken",
+        place: this.#durableIndex,
+        confirmed: this.#commitIndex,
+      }),
     ];
   }
 
-  /** A whole copy in pieces, taken only when all of it is synced here, so a copy never runs ahead (§1.4). */
+  /** Starts to send a snapshot in pieces; called only when all of it is durable here, so a copy is never ahead of its source. */
   #sendSnapshot(to: Member, now: number): ChainCommand[] {
-    this.#snapshotFor = undefined;
-    this.#series += 1;
-    if (isSame(this.#view!.joiner, to)) {
-      this.#joinerPlace = this.#place;
-      this.#joinerPassed = this.#place;
-      /** A copy of nothing counts as whole at once. */
-      if (this.#place === 0 && !this.#joinerGates) {
-        this.#joinerGates = true;
-        this.#joinerSyncedAt = now;
+    this.#snapshotPendingFor = undefined;
+    this.#snapshotSeries += 1;
+    if (isSameMember(this.#view!.joiner, to)) {
+      this.#learnerIndex = this.#lastIndex;
+      this.#learnerSentIndex = this.#lastIndex;
+      // An empty copy is complete at once.
+      if (this.#lastIndex === 0 && !this.#learnerGatesCommit) {
+        this.#learnerGatesCommit = true;
+        this.#learnerAckedAt = now;
       }
     }
-    const parts = cutInPieces(this.ledger.snapshot());
-    const pieces: DistributiveBare[] = [];
+    const parts = splitIntoPieces(this.ledger.snapshot());
+    const pieces: MessageBody[] = [];
     for (const [part, records] of parts.entries()) {
       pieces.push({
         kind: "digest",
-        series: this.#series,
+        series: this.#snapshotSeries,
         part,
         last: part === parts.length - 1,
-        place: this.#place,
-        time: this.#time,
+        place: this.#lastIndex,
+        time: this.#ledgerTime,
         records,
       });
     }
-    this.#sending = { to, pieces, sent: 0, got: new Set(), at: now, isDeaf: false };
+    this.#outgoingSnapshot = {
+      to,
+      pieces,
+      sent: 0,
+      acknowledged: new Set(),
+      at: now,
+      sendsNoAcks: false,
+    };
     return this.#sendPieces();
   }
 
   #sendPieces(): ChainCommand[] {
     const commands: ChainCommand[] = [];
-    const sending = this.#sending;
+    const sending = this.#outgoingSnapshot;
     if (sending === undefined) return commands;
     const { to, pieces } = sending;
     const upTo = Math.min(
       pieces.length,
-      sending.isDeaf
+      sending.sendsNoAcks
         ? sending.sent + constants.snapshotPiecesEachBeat
-        : sending.got.size + constants.snapshotPiecesOut,
+        : sending.acknowledged.size + constants.snapshotPiecesOut,
     );
     for (; sending.sent < upTo; sending.sent += 1)
       commands.push(this.#send(to, pieces[sending.sent]!));
-    if (sending.isDeaf && sending.sent === pieces.length) this.#sending = undefined;
+    if (sending.sendsNoAcks && sending.sent === pieces.length) this.#outgoingSnapshot = undefined;
     return commands;
   }
 
-  /** Pieces follow as fast as they are taken: more than the link carries would be dropped, and the copy begun anew for ever (§1.8). */
-  #receiveGot(series: number, part: number, from: string, now: number): ChainCommand[] {
-    const sending = this.#sending;
+  /**
+   * Sends further pieces as earlier ones are acknowledged. If more were sent than the link carries, pieces would be dropped and the
+   * snapshot would be restarted again and again (docs/design.md §1.8).
+   */
+  #receivePieceAck(series: number, part: number, from: string, now: number): ChainCommand[] {
+    const sending = this.#outgoingSnapshot;
     if (
       sending === undefined ||
-      series !== this.#series ||
+      series !== this.#snapshotSeries ||
       sending.to.address !== from ||
-      sending.got.has(part)
+      sending.acknowledged.has(part)
     )
       return [];
-    sending.got.add(part);
+    sending.acknowledged.add(part);
     sending.at = now;
-    sending.isDeaf = false;
-    if (sending.got.size === sending.pieces.length) this.#sending = undefined;
+    sending.sendsNoAcks = false;
+    if (sending.acknowledged.size === sending.pieces.length) this.#outgoingSnapshot = undefined;
     return this.#sendPieces();
   }
 
-  /** Pieces of which nothing is heard go out again; one that never says that it got any is of an earlier release, and gets a few each beat. */
-  #sendPiecesAgain(now: number): ChainCommand[] {
-    const sending = this.#sending;
-    if (sending === undefined || sending.isDeaf) return this.#sendPieces();
-    if (now - sending.at < constants.resendAfter * (sending.got.size === 0 ? 6 : 2)) return [];
+  /**
+   * Resends pieces that were not acknowledged in time. A receiver that acknowledges none runs an earlier release, and is sent a
+   * fixed number with each tick.
+   */
+  #resendPieces(now: number): ChainCommand[] {
+    const sending = this.#outgoingSnapshot;
+    if (sending === undefined || sending.sendsNoAcks) return this.#sendPieces();
+    if (now - sending.at < constants.resendAfter * (sending.acknowledged.size === 0 ? 6 : 2))
+      return [];
     sending.at = now;
     const commands: ChainCommand[] = [];
-    if (sending.got.size === 0) {
-      sending.isDeaf = true;
+    if (sending.acknowledged.size === 0) {
+      sending.sendsNoAcks = true;
       sending.sent = 0;
       return this.#sendPieces();
     }
     for (let part = 0; part < sending.sent; part += 1)
-      if (!sending.got.has(part)) commands.push(this.#send(sending.to, sending.pieces[part]!));
+      if (!sending.acknowledged.has(part))
+        commands.push(this.#send(sending.to, sending.pieces[part]!));
     return commands;
   }
 
@@ -828,25 +925,30 @@
     now: number,
   ): ChainCommand[] {
     if (this.#source?.address !== from || this.position === 0) return [];
-    if (this.#parts === undefined || this.#parts.series !== message.series) {
-      this.#parts = { series: message.series, pieces: new Map(), last: undefined, at: now };
+    if (this.#incomingSnapshot === undefined || this.#incomingSnapshot.series !== message.series) {
+      this.#incomingSnapshot = {
+        series: message.series,
+        pieces: new Map(),
+        last: undefined,
+        at: now,
+      };
     }
-    const parts = this.#parts;
+    const parts = this.#incomingSnapshot;
     parts.at = now;
-    const got: ChainCommand = this.#send(this.#source, {
+    const ack: ChainCommand = this.#send(this.#source, {
       kind: "digest-got",
       series: message.series,
       part: message.part,
     });
     parts.pieces.set(message.part, message.records);
     if (message.last) parts.last = message.part;
-    this.#progressAt = now;
-    if (parts.last === undefined || parts.pieces.size !== parts.last + 1) return [got];
-    this.#parts = undefined;
-    if (message.place < this.#place) return [got];
-    if (message.place === 0 && this.#copiedMark === message.mark) {
-      this.#countCopy(now);
-      return [got];
+    this.#lastProgressAt = now;
+    if (parts.last === undefined || parts.pieces.size !== parts.last + 1) return [ack];
+    this.#incomingSnapshot = undefined;
+    if (message.place < this.#lastIndex) return [ack];
+    if (message.place === 0 && this.#copiedEpoch === message.mark) {
+      this.#updateCopyStatus(now);
+      return [ack];
     }
     const records: Change[] = [];
     for (let part = 0; part <= parts.last; part += 1) records.push(...parts.pieces.get(part)!);
@@ -854,90 +956,108 @@
     this.ledger.adopt(records);
     this.machine.rebuild(this.ledger);
     this.#entries = [];
-    this.#changesAt.clear();
-    this.#place = message.place;
-    this.#time = message.time;
-    this.#timeAt = now;
-    const joins = isSame(this.#view!.joiner, this.#self);
-    if (joins) this.#confirmed = message.place;
-    if (joins && message.place === 0) this.#sourcePlace = 0;
-    this.#gap = true;
-    return [got, this.#write(true, records, [], [], now)];
+    this.#changesByIndex.clear();
+    this.#lastIndex = message.place;
+    this.#ledgerTime = message.time;
+    this.#ledgerTimeSetAt = now;
+    const isLearner = isSameMember(this.#view!.joiner, this.#self);
+    if (isLearner) this.#commitIndex = message.place;
+    if (isLearner && message.place === 0) this.#sourceIndex = 0;
+    this.#needsFullPublish = true;
+    return [ack, this.#write(true, records, [], [], now)];
   }
 
   beat(now: number): ChainCommand[] {
-    if (this.#view === undefined || !this.#ready) return [];
-    const commands: ChainCommand[] = this.#sendPiecesAgain(now);
-    const late = now - this.#progressAt > constants.resendAfter;
+    if (this.#view === undefined || !this.#isViewDurable) return [];
+    const commands: ChainCommand[] = this.#resendPieces(now);
+    const isOverdue = now - this.#lastProgressAt > constants.resendAfter;
     const source = this.#source;
-    const joins = isSame(this.#view.joiner, this.#self);
-    /** Pieces that do not come any more, since their sender began another life: it is asked anew. */
-    if (this.#parts !== undefined && now - this.#parts.at > constants.resendAfter * 8) {
-      this.#parts = undefined;
-      commands.push(this.#send(source!, { kind: "want", place: this.#place }));
+    const isLearner = isSameMember(this.#view.joiner, this.#self);
+    // The sender of the snapshot stopped sending, for example because it restarted: request a new snapshot.
+    if (
+      this.#incomingSnapshot !== undefined &&
+      now - this.#incomingSnapshot.at > constants.resendAfter * 8
+    ) {
+      this.#incomingSnapshot = undefined;
+      commands.push(this.#send(source!, { kind: "want", place: this.#lastIndex }));
     }
-    if (joins && this.#copiedMark > 0 && now - this.#wholeAt > constants.resendAfter * 4)
-      this.#copiedMark = 0;
+    if (isLearner && this.#copiedEpoch > 0 && now - this.#caughtUpAt > constants.resendAfter * 4)
+      this.#copiedEpoch = 0;
     if (
-      joins &&
-      this.#parts === undefined &&
+      isLearner &&
+      this.#incomingSnapshot === undefined &&
       this.#writes.size === 0 &&
-      now - this.#progressAt > constants.resendAfter
+      now - this.#lastProgressAt > constants.resendAfter
     ) {
-      this.#progressAt = now;
-      if (this.#synced > 0)
+      this.#lastProgressAt = now;
+      if (this.#durableIndex > 0)
         commands.push(
-          this.#send(source!, { kind: "taken", place: this.#synced, confirmed: this.#confirmed }),
+          this.#send(source!, {
+            kind: "taken",
+            place: this.#durableIndex,
+            confirmed: this.#commitIndex,
+          }),
         );
-      commands.push(this.#send(source!, { kind: "want", place: this.#place }));
+      commands.push(this.#send(source!, { kind: "want", place: this.#lastIndex }));
       return commands;
     }
-    if (late && this.position >= 0) {
-      this.#progressAt = now;
+    if (isOverdue && this.position >= 0) {
+      this.#lastProgressAt = now;
       const successor = this.#successor;
-      if (successor !== undefined && this.#synced > this.#taken)
-        commands.push(...this.#sendAgain(successor, this.#taken, now));
+      if (successor !== undefined && this.#durableIndex > this.#ackedIndex)
+        commands.push(...this.#resendEntries(successor, this.#ackedIndex, now));
       for (const probe of this.#probes.values()) {
         if (now - probe.sentAt < constants.resendAfter) continue;
         probe.sentAt = now;
         commands.push(this.#send(successor!, { kind: "probe", number: probe.number }));
       }
     }
-    if (this.position > 0 && now - this.#toldAt > constants.resendAfter * 2) {
-      this.#toldAt = now;
-      if (this.#isTail && this.#synced > this.#confirmed) commands.push(...this.#pass(now));
+    if (this.position > 0 && now - this.#lastReportAt > constants.resendAfter * 2) {
+      this.#lastReportAt = now;
+      if (this.#isTail && this.#durableIndex > this.#commitIndex)
+        commands.push(...this.#propagate(now));
       else
         commands.push(
-          this.#send(source!, { kind: "taken", place: this.#synced, confirmed: this.#confirmed }),
+          this.#send(source!, {
+            kind: "taken",
+            place: this.#durableIndex,
+            confirmed: this.#commitIndex,
+          }),
         );
     }
     return commands;
   }
 
-  /** All that a blank folder would need, for tests and snapshots of control state. */
+  /** The complete state as it would be persisted, for tests and snapshots of control state. */
   holding(): ChainHolding | undefined {
     if (this.#view === undefined) return undefined;
     return {
-      state: { place: this.#place, time: this.#time, confirmed: this.#confirmed, view: this.#view },
+      state: {
+        place: this.#lastIndex,
+        time: this.#ledgerTime,
+        confirmed: this.#commitIndex,
+        view: this.#view,
+      },
       records: this.ledger.snapshot(),
       entries: [...this.#entries],
     };
   }
 }
 
-/** A snapshot on its way. */
-interface Sending {
+/** A snapshot that is being sent. */
+interface OutgoingSnapshot {
   readonly to: Member;
-  readonly pieces: readonly DistributiveBare[];
+  readonly pieces: readonly MessageBody[];
   sent: number;
-  readonly got: Set<number>;
-  /** When something of it was last heard, or it was last sent again. */
+  readonly acknowledged: Set<number>;
+  /** Time of the last acknowledgement or resend. */
   at: number;
-  /** Whether the other side says nothing of what it got. */
-  isDeaf: boolean;
+  /** Whether the receiver acknowledges no pieces. */
+  sendsNoAcks: boolean;
 }
 
-type DistributiveBare = ChainMessage extends infer Each
+/** Any chain message without the fields that `#send` fills in. */
+type MessageBody = ChainMessage extends infer Each
   ? Each extends unknown
     ? Omit<Each, "chain" | "mark">
     : never
@@ -949,81 +1069,90 @@
   return -1;
 }
 
-function isSame(left: Member | undefined, right: Member | undefined): boolean {
+function isSameMember(left: Member | undefined, right: Member | undefined): boolean {
   return left !== undefined && right !== undefined && left.identity === right.identity;
 }
 
-/** Pieces of a snapshot: by number and by weight, and one where there is nothing (§1.7). */
-function cutInPieces(records: readonly Change[]): Change[][] {
+/** Splits a snapshot into pieces limited in records and in bytes; an empty snapshot is one empty piece (docs/design.md §1.7). */
+function splitIntoPieces(records: readonly Change[]): Change[][] {
   const pieces: Change[][] = [[]];
-  let weight = 0;
+  let bytes = 0;
   for (const record of records) {
-    const own = weightOf(record);
+    const recordBytes = estimateBytes(record);
     const piece = pieces.at(-1)!;
     if (
       piece.length === constants.snapshotPiece ||
-      (piece.length > 0 && weight + own > constants.messageWeight)
+      (piece.length > 0 && bytes + recordBytes > constants.messageWeight)
     ) {
       pieces.push([record]);
-      weight = own;
+      bytes = recordBytes;
     } else {
       piece.push(record);
-      weight += own;
+      bytes += recordBytes;
     }
   }
   return pieces;
 }
 
-/** bytes. About what a value takes in a message; names of fields count as their letters. */
-function weightOf(value: unknown): number {
+/** Estimates the encoded size of a value in bytes; a field name counts by its length. */
+function estimateBytes(value: unknown): number {
   if (typeof value === "string") return value.length;
   if (value instanceof Uint8Array) return value.byteLength;
   if (typeof value !== "object" || value === null) return 8;
-  let weight = 8;
-  if (Array.isArray(value)) for (const each of value) weight += weightOf(each);
-  else for (const [name, each] of Object.entries(value)) weight += name.length + weightOf(each);
-  return weight;
+  let bytes = 8;
+  if (Array.isArray(value)) for (const each of value) bytes += estimateBytes(each);
+  else for (const [name, each] of Object.entries(value)) bytes += name.length + estimateBytes(each);
+  return bytes;
 }
 
-/** Whether this machine's copy counts in the view: as a member's, or as one of those that held all when the chain last confirmed. */
-function holds(view: ChainView, self: Member): boolean {
-  return positionOf(view, self) >= 0 || holdersOf(view).some(isMember, self);
+/** Whether the view counts on this replica's copy: as a member's, or as one of those that hold all committed entries. */
+function countsOnCopy(view: ChainView, self: Member): boolean {
+  return positionOf(view, self) >= 0 || holdersOf(view).some(hasSameIdentity, self);
 }
 
-/** Whether what a joiner was copied is a beginning of what the next view holds. What a view that confirms nothing holds may be dropped by the next (§1.5). */
-function copiedOn(before: ChainView, view: ChainView, self: Member): boolean {
-  if (!isSame(before.joiner, self) || !isSame(view.joiner, self)) return false;
+/**
+ * Whether a learner's copy is a prefix of the log of the next view. Entries held by a view that is too small to commit may be dropped
+ * by the next view (docs/design.md §1.5).
+ */
+function continuesLearnerCopy(previous: ChainView, view: ChainView, self: Member): boolean {
+  if (!isSameMember(previous.joiner, self) || !isSameMember(view.joiner, self)) return false;
   return (
-    before.holders === undefined ||
-    (view.mark === before.mark + 1 && view.members.some(isMember, before.members.at(-1)!))
+    previous.holders === undefined ||
+    (view.mark === previous.mark + 1 &&
+      view.members.some(hasSameIdentity, previous.members.at(-1)!))
   );
 }
 
-/** Each of them holds all that was confirmed (§1.5). */
+/** Members that each hold all committed entries (docs/design.md §1.5). */
 export function holdersOf(view: ChainView): readonly Member[] {
   return view.holders ?? view.members;
 }
 
-/** Whether a member is there, by its identity. */
+/** Set of the identities that are reachable. */
 export interface Presence {
   has(identity: string): boolean;
 }
 
-/** Those of a view that are there, in the order in which they may go on; what was copied from a lone holder counts while just those holders stay (§1.5). */
-export function presentOf(view: ChainView, there: Presence): Member[] {
+/**
+ * The reachable replicas of a view that can form the next one, in chain order. Members that copied from the holders count only while
+ * exactly the holders that are members are reachable (docs/design.md §1.5).
+ */
+export function presentOf(view: ChainView, reachable: Presence): Member[] {
   const present: Member[] = [];
-  const joined: Member[] = [];
-  let same = true;
+  const copied: Member[] = [];
+  let sameHolders = true;
   for (const member of holdersOf(view)) {
-    if (there.has(member.identity)) present.push(member);
-    if (there.has(member.identity) !== view.members.some(isMember, member)) same = false;
+    if (reachable.has(member.identity)) present.push(member);
+    if (reachable.has(member.identity) !== view.members.some(hasSameIdentity, member))
+      sameHolders = false;
   }
   for (const member of view.members)
-    if (there.has(member.identity) && !holdersOf(view).some(isMember, member)) joined.push(member);
-  return same ? [...present, ...joined] : present;
+    if (reachable.has(member.identity) && !holdersOf(view).some(hasSameIdentity, member))
+      copied.push(member);
+  return sameHolders ? [...present, ...copied] : present;
 }
 
-function isMember(this: Member, member: Member): boolean {
+function hasSameIdentity(this: Member, member: Member): boolean {
   return member.identity === this.identity;
 }
 
@@ -1031,6 +1160,6 @@
   return entry.place > this.place;
 }
 
-function byPlace(left: Waiter, right: Waiter): number {
+function byLogIndex(left: Waiter, right: Waiter): number {
   return left.place - right.place;
 }
--- a/packages/parts/src/ledger.ts
+++ b/packages/parts/src/ledger.ts
@@ -1,7 +1,9 @@
-/** A key and its new value; undefined or null where the record was removed. */
+/** Key-value records that a chain replicates, and the deterministic state machine that runs over them (docs/design.md §1.2). */
+
+/** A key and its new value; undefined or null if the record was removed. */
 export type Change = readonly [key: string, value: unknown];
 
-/** Records under keys, and which of them changed since last asked (docs/design.md §1.2). */
+/** Key-value store that tracks which keys changed since the changes were last taken. */
 export class Ledger {
   #records = new Map<string, unknown>();
   #changed = new Set<string>();
@@ -10,7 +12,7 @@
     return this.#records.get(key) as Value | undefined;
   }
 
-  /** Values are never altered in place: a change is a new value. */
+  /** Stores a value. Stored values must not be mutated; a change is stored as a new value. */
   put(key: string, value: unknown): void {
     this.#records.set(key, value);
     this.#changed.add(key);
@@ -20,7 +22,7 @@
     if (this.#records.delete(key)) this.#changed.add(key);
   }
 
-  /** Changes since the last call, each key once with its newest value. */
+  /** Returns the changes since the last call, each key once with its newest value. */
   takeChanges(): Change[] {
     const changes: Change[] = [];
     for (const key of this.#changed) changes.push([key, this.#records.get(key)]);
@@ -28,7 +30,7 @@
     return changes;
   }
 
-  /** Applies changes that came from disk or another member, without counting them as changes of its own. */
+  /** Applies changes read from disk or received from another replica, without tracking them as new changes. */
   adopt(changes: Iterable<Change>): void {
     for (const [key, value] of changes) {
       if (value === undefined || value === null) this.#records.delete(key);
@@ -41,7 +43,7 @@
     this.#changed.clear();
   }
 
-  /** All records, in the order in which their keys were first put. */
+  /** All records, in the insertion order of their keys. */
   snapshot(): Change[] {
     return [...this.#records];
   }
@@ -50,17 +52,17 @@
     return this.#records.size;
   }
 
-  /** Records whose keys begin with a prefix, in the order in which their keys were first put. */
+  /** Records whose keys start with a prefix, in the insertion order of their keys. */
   *under<Value>(prefix: string): Generator<[string, Value]> {
     for (const [key, value] of this.#records)
       if (key.startsWith(prefix)) yield [key, value as Value];
   }
 }
 
-/** What a chain replicates: a deterministic machine over a ledger. */
+/** Deterministic state machine over a ledger, replicated by a chain. */
 export interface Machine {
-  /** Applies one command at the moment stamped by the head; a request without changes is a read. */
+  /** Applies a command at the ledger time assigned by the head; a command that changes no records is a read. */
   apply(ledger: Ledger, command: unknown, time: number): unknown;
-  /** Called after records came from disk or from another member. */
+  /** Rebuilds derived state after the records were loaded from disk or from another replica. */
   rebuild(ledger: Ledger): void;
 }
--- a/packages/parts/src/view-voters.ts
+++ b/packages/parts/src/view-voters.ts
@@ -1,39 +1,39 @@
-/** Who votes on the next view, and comparisons of members and ballots (docs/design.md §2). */
+/** Voters on the next view, and comparisons of members and ballots (docs/design.md §2). */
 import type { ChainView, Member } from "./chain.js";
 import type { Ballot, VoteState } from "./view-messages.js";
 
-/** Who agrees on the view that follows this one. */
+/** Voters on the view that follows this one. */
 export function votersOf(view: ChainView): readonly Member[] {
   return view.voters ?? view.members;
 }
 
-/** How many of the voters of a view make a majority. */
+/** Number of voters of a view that form a majority. */
 export function majority(view: ChainView): number {
   return Math.floor(votersOf(view).length / 2) + 1;
 }
 
-/** Whether a ballot goes before another one. */
+/** Whether the left ballot takes precedence over the right one. */
 export function isHigherBallot(left: Ballot, right: Ballot): boolean {
   return left.round > right.round || (left.round === right.round && left.identity > right.identity);
 }
 
-/** What was accepted under the highest ballot, of what promises told; a view that is decided already is among it. */
+/** The view accepted under the highest ballot that the promises report; if a view is already chosen, it is this one. */
 export function highestAccepted(
-  told: Iterable<VoteState["accepted"] | null>,
+  reports: Iterable<VoteState["accepted"] | null>,
 ): VoteState["accepted"] {
   let best: VoteState["accepted"];
-  for (const accepted of told)
+  for (const accepted of reports)
     if (accepted && (best === undefined || isHigherBallot(accepted.ballot, best.ballot)))
       best = accepted;
   return best;
 }
 
-/** Whether two ballots are the same proposal. */
+/** Whether two ballots belong to the same proposal. */
 export function isSameBallot(left: Ballot, right: Ballot): boolean {
   return left.round === right.round && left.identity === right.identity;
 }
 
-/** Whether two lists name the same identities in the same order. */
+/** Whether two lists contain the same identities in the same order. */
 export function haveSameMembers(left: readonly Member[], right: readonly Member[]): boolean {
   if (left.length !== right.length) return false;
   for (const [index, member] of left.entries())
@@ -41,12 +41,12 @@
   return true;
 }
 
-/** For `some` and `find`, with the identity as `this`. */
+/** Callback for array methods such as `some` and `findIndex`, with the identity to look for as `this`. */
 export function hasIdentity(this: { identity: string }, member: Member): boolean {
   return member.identity === this.identity;
 }
 
-/** Order of members that all machines agree on. */
+/** Sort order of members that is the same on all machines. */
 export function byIdentity(left: Member, right: Member): number {
   return left.identity < right.identity ? -1 : 1;
 }
--- a/packages/parts/src/view.ts
+++ b/packages/parts/src/view.ts
@@ -1,3 +1,7 @@
+/**
+ * Agreement of the control machines on the view of the control chain: failure detection by heartbeats, and a Paxos-style vote on
+ * each next view (docs/design.md §2).
+ */
 import { constants } from "./constants.js";
 import { holdersOf, presentOf, type ChainView, type Member } from "./chain.js";
 import { ControlPeers } from "./control-peers.js";
@@ -17,42 +21,43 @@
 interface Proposal {
   readonly mark: number;
   readonly ballot: Ballot;
-  readonly wished: ChainView;
-  /** Whether the wished view goes on without one that stops as planned. */
+  readonly desired: ChainView;
+  /** Whether the proposed view leaves out a member because of a planned shutdown. */
   readonly isHandover: boolean;
   readonly promises: Map<string, VoteState["accepted"]>;
   readonly accepts: Set<string>;
   value: ChainView | undefined;
 }
 
-/** The small agreed view that mends the control chain (docs/design.md §2). */
+/** Agreement state of one control machine, both as proposer and as voter. */
 export class Agreement {
   #self: Member;
   #seeds: readonly string[];
   #state: VoteState;
   #peers: ControlPeers;
   #proposal: Proposal | undefined;
-  #round = 0;
-  #greetAt = Number.NEGATIVE_INFINITY;
-  #startedAt: number;
-  #wishSince: number | undefined;
-  #ticket = 0;
-  #waiting = new Map<number, ViewCommand[]>();
-  #copiedMark = 0;
-  /** Identity of a joiner that holds the chain up, as its tail here found. */
-  #stuckJoiner: string | undefined;
+  #highestRound = 0;
+  #lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+  #listeningSince: number;
+  /** Start of the delay, by proposer rank, after which this machine proposes the next view. */
+  #proposalDelayStart: number | undefined;
+  #lastTicket = 0;
+  #heldCommands = new Map<number, ViewCommand[]>();
+  #copiedEpoch = 0;
+  /** Identity of a learner that slows the chain down, as found by the tail on this machine. */
+  #slowLearner: string | undefined;
   #leaving = false;
-  #beatAt: number;
-  #settledSince: number | undefined;
-  #settledBefore: number | undefined;
+  #lastTickAt: number;
+  #settledAt: number | undefined;
+  #previousSettledAt: number | undefined;
 
-  /** Whether a first view may be founded here: never by a machine that came later with an empty folder (§2.2). */
-  #mayFound: boolean;
-  /** machines. What the group is mended to. */
-  #wanted: number;
+  /** Whether this machine may form the first view; a machine added later with an empty data folder must not (docs/design.md §2.2). */
+  #mayFormFirstView: boolean;
+  /** Number of members that the group is restored to. */
+  #wantedMembers: number;
 
-  /** Copies on which the group confirms anything. */
-  #least: number;
+  /** Number of replicas on which an entry must be durable to be committed. */
+  #minimumCopies: number;
 
   constructor(
     self: Member,
@@ -63,41 +68,42 @@
     wanted: number = constants.copiesWanted,
     least: number = constants.copiesLeast,
   ) {
-    this.#least = least;
-    this.#mayFound = founding || state?.founding !== undefined;
-    this.#wanted = wanted;
+    this.#minimumCopies = least;
+    this.#mayFormFirstView = founding || state?.founding !== undefined;
+    this.#wantedMembers = wanted;
     this.#self = self;
     this.#peers = new ControlPeers(self);
     this.#seeds = [...seeds].sort();
-    this.#startedAt = now;
-    this.#beatAt = now;
+    this.#listeningSince = now;
+    this.#lastTickAt = now;
     this.#state = state ?? {
       view: undefined,
       founding: undefined,
       promised: undefined,
       accepted: undefined,
     };
-    this.#round = this.#state.promised?.round ?? 0;
+    this.#highestRound = this.#state.promised?.round ?? 0;
   }
 
   get view(): ChainView | undefined {
     return this.#state.view;
   }
 
+  /** Announces a planned shutdown of this machine. */
   leave(): ViewCommand[] {
     this.#leaving = true;
-    return this.#greetings();
+    return this.#heartbeats();
   }
 
-  /** This machine asks to be taken in again after it had left. */
+  /** Cancels a planned shutdown, so that this machine can become a member again. */
   stay(): ViewCommand[] {
     this.#leaving = false;
-    return this.#greetings();
+    return this.#heartbeats();
   }
 
   /**
-   * Whether one that stops as planned must still wait though it is no member: it holds all that was confirmed while too few do, or
-   * the voters that are there are no majority without it (§8.6).
+   * Whether this machine must delay its planned shutdown although it is no longer a member: it holds all committed entries while too
+   * few members do, or the reachable voters have no majority without it (docs/design.md §8.6).
    */
   get isNeeded(): boolean {
     const view = this.#state.view;
@@ -106,7 +112,7 @@
     if (holdersOf(view).some(hasIdentity, { identity })) return true;
     const voters = votersOf(view);
     if (!voters.some(hasIdentity, { identity })) return false;
-    return this.#peers.alive(voters, this.#beatAt).length - 1 < majority(view);
+    return this.#peers.alive(voters, this.#lastTickAt).length - 1 < majority(view);
   }
 
   #isLeaving(identity: string): boolean {
@@ -115,32 +121,33 @@
       : this.#peers.get(identity)?.leaving === true;
   }
 
-  /** Since when every member of the view before had told that it works in that view; undefined if one never did (§7.2). */
+  /** When every member of the previous view had reported that view; undefined if one never did (docs/design.md §7.2). */
   get settledBefore(): number | undefined {
-    return this.#settledBefore;
+    return this.#previousSettledAt;
   }
 
-  #settle(now: number): void {
+  /** Records the time at which every member has reported the current view. */
+  #recordSettled(now: number): void {
     const view = this.#state.view;
-    if (view === undefined || this.#settledSince !== undefined) return;
+    if (view === undefined || this.#settledAt !== undefined) return;
     for (const { identity } of view.members)
       if (identity !== this.#self.identity && this.#peers.get(identity)?.view?.mark !== view.mark)
         return;
-    this.#settledSince = now;
+    this.#settledAt = now;
   }
 
-  /** Whether a machine was heard lately, and hears this one (§2.3). */
+  /** Whether heartbeats from a machine arrived within a time, in ms, and it receives those of this one (docs/design.md §2.3). */
   heardWithin(identity: string, within: number, now: number): boolean {
     return this.#peers.heardWithin(identity, within, now);
   }
 
-  /** Whether enough of those who agree are heard: else this machine is the one that is away. */
+  /** Whether a majority of the voters is reachable; if not, this machine may be the one that is cut off. */
   isNear(now: number): boolean {
     const view = this.#state.view;
     return view !== undefined && this.#peers.alive(votersOf(view), now).length >= majority(view);
   }
 
-  /** Control machines to talk to: the view, its joiner, the seeds and whoever greets. */
+  /** Addresses to send heartbeats to: those in the view, the seeds, and all machines that send heartbeats. */
   addresses(): string[] {
     const found = new Set<string>(this.#seeds);
     for (const member of this.#state.view?.members ?? []) found.add(member.address);
@@ -152,143 +159,156 @@
     return [...found];
   }
 
+  /** Called when the state with this ticket is durable; returns the commands that waited for it. */
   written(ticket: number): ViewCommand[] {
-    const commands = this.#waiting.get(ticket) ?? [];
-    this.#waiting.delete(ticket);
+    const commands = this.#heldCommands.get(ticket) ?? [];
+    this.#heldCommands.delete(ticket);
     return commands;
   }
 
-  #keep(state: VoteState, after: ViewCommand[]): ViewCommand[] {
+  /** Requests that a state be persisted, and holds commands back until it is durable. */
+  #persist(state: VoteState, after: ViewCommand[]): ViewCommand[] {
     this.#state = state;
-    this.#ticket += 1;
-    this.#waiting.set(this.#ticket, after);
-    return [{ kind: "vote", ticket: this.#ticket, state }];
-  }
-
-  beat(now: number, copiedMark: number, stuckJoiner?: string): ViewCommand[] {
-    this.#stuckJoiner = stuckJoiner;
-    /** A copy that is done is told at once. */
-    if (copiedMark > this.#copiedMark) this.#greetAt = Number.NEGATIVE_INFINITY;
-    this.#copiedMark = copiedMark;
-    /** What was not heard in sleep is no silence of others. */
-    if (now - this.#beatAt > constants.sleptLeast) this.#startedAt = now;
-    this.#beatAt = now;
-    this.#settle(now);
+    this.#lastTicket += 1;
+    this.#heldCommands.set(this.#lastTicket, after);
+    return [{ kind: "vote", ticket: this.#lastTicket, state }];
+  }
+
+  /** Sends heartbeats when they are due, and forms the first view or proposes the next one if needed. */
+  beat(now: number, copiedMark: number, slowLearner?: string): ViewCommand[] {
+    this.#slowLearner = slowLearner;
+    // A completed copy is reported at once.
+    if (copiedMark > this.#copiedEpoch) this.#lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+    this.#copiedEpoch = copiedMark;
+    // After a suspension of this process, missing heartbeats do not mean that other machines failed.
+    if (now - this.#lastTickAt > constants.sleptLeast) this.#listeningSince = now;
+    this.#lastTickAt = now;
+    this.#recordSettled(now);
     const commands: ViewCommand[] = [];
-    if (now - this.#greetAt >= constants.greetEvery) {
-      this.#greetAt = now;
-      commands.push(...this.#greetings());
+    if (now - this.#lastHeartbeatAt >= constants.greetEvery) {
+      this.#lastHeartbeatAt = now;
+      commands.push(...this.#heartbeats());
       this.#peers.forget(now);
     }
-    if (this.#state.view === undefined) commands.push(...this.#found(now));
-    else commands.push(...this.#mend(now));
+    if (this.#state.view === undefined) commands.push(...this.#formFirstView(now));
+    else commands.push(...this.#proposeIfNeeded(now));
     return commands;
   }
 
-  #greetings(): ViewCommand[] {
+  #heartbeats(): ViewCommand[] {
     const commands: ViewCommand[] = [];
-    const message = this.#greeting();
+    const message = this.#heartbeat();
     for (const to of this.addresses()) commands.push({ kind: "send", to, message });
     return commands;
   }
 
-  /** The first view: only when all seeds are blank, and all three hold the same founding synced (§2.2). */
-  #found(now: number): ViewCommand[] {
+  /** Forms the first view once no seed has a view and all of them have persisted the same founding members (docs/design.md §2.2). */
+  #formFirstView(now: number): ViewCommand[] {
     if (
-      !this.#mayFound ||
+      !this.#mayFormFirstView ||
       !this.#seeds.includes(this.#self.address) ||
-      this.#seeds.length < this.#least
+      this.#seeds.length < this.#minimumCopies
     )
       return [];
     const members: Member[] = [];
-    let same = true;
+    let allAgree = true;
     for (const seed of this.#seeds) {
-      const neighbour = seed === this.#self.address ? undefined : this.#peers.at(seed, now);
-      if (seed !== this.#self.address && (neighbour === undefined || neighbour.view !== undefined))
-        return [];
-      members.push(neighbour?.member ?? this.#self);
+      const peer = seed === this.#self.address ? undefined : this.#peers.at(seed, now);
+      if (seed !== this.#self.address && (peer === undefined || peer.view !== undefined)) return [];
+      members.push(peer?.member ?? this.#self);
     }
     for (const seed of this.#seeds) {
       const founding =
         seed === this.#self.address ? this.#state.founding : this.#peers.at(seed, now)!.founding;
-      if (founding === undefined || !haveSameMembers(founding, members)) same = false;
+      if (founding === undefined || !haveSameMembers(founding, members)) allAgree = false;
     }
-    if (same) return this.#decide({ mark: 1, members });
+    if (allAgree) return this.#adoptView({ mark: 1, members });
     if (
-      this.#waiting.size > 0 ||
+      this.#heldCommands.size > 0 ||
       (this.#state.founding !== undefined && haveSameMembers(this.#state.founding, members))
     )
       return [];
-    return this.#keep({ ...this.#state, founding: members }, []);
+    return this.#persist({ ...this.#state, founding: members }, []);
   }
 
-  /** What the next view should be, judged from silence, from blanks that greet and from copies done. */
-  #wish(now: number): ChainView | undefined {
+  /** The view to propose, based on missing heartbeats, machines that could join and completed copies; undefined if none is needed. */
+  #desiredView(now: number): ChainView | undefined {
     const view = this.#state.view!;
-    /** Where the members are too few to confirm, those that confirmed last go on as soon as they are back (§1.5). */
-    const there = new Set<string>();
+    // If the members are too few to commit, the last members that could commit take over as soon as they are reachable again.
+    const reachable = new Set<string>();
     for (const { identity } of this.#peers.alive([...holdersOf(view), ...view.members], now))
-      there.add(identity);
-    const alive = presentOf(view, there);
+      reachable.add(identity);
+    const alive = presentOf(view, reachable);
     if (alive.length === 0 || !this.isNear(now)) return undefined;
-    const joiner =
+    const learner =
       view.joiner !== undefined &&
-      view.joiner.identity !== this.#stuckJoiner &&
+      view.joiner.identity !== this.#slowLearner &&
       this.#peers.heardWithin(view.joiner.identity, constants.memberSilence, now)
         ? view.joiner
         : undefined;
     if (!haveSameMembers(alive, view.members)) {
-      /** One copy left confirms nothing: it goes on only where there is one to copy to. */
-      const next = joiner ?? (alive.length < this.#least ? this.#candidate(view, now) : undefined);
-      return alive.length >= this.#least || next !== undefined
-        ? this.#next(view, alive, next, now)
+      // A single remaining replica cannot commit, so a view without enough members needs a learner.
+      const next =
+        learner ??
+        (alive.length < this.#minimumCopies ? this.#learnerCandidate(view, now) : undefined);
+      return alive.length >= this.#minimumCopies || next !== undefined
+        ? this.#buildNextView(view, alive, next, now)
         : undefined;
     }
-    /** One that stops as planned leaves at once, as long as two stay. */
+    // A member that announced its shutdown is removed at once, as long as enough members remain.
     const staying: Member[] = [];
     for (const member of alive) if (!this.#isLeaving(member.identity)) staying.push(member);
-    if (staying.length < alive.length && staying.length >= this.#least)
-      return this.#next(view, staying, joiner, now);
+    if (staying.length < alive.length && staying.length >= this.#minimumCopies)
+      return this.#buildNextView(view, staying, learner, now);
     if (view.joiner !== undefined) {
-      if (joiner === undefined) return this.#next(view, view.members, undefined, now);
-      return this.#peers.get(joiner.identity)?.copiedMark === view.mark
-        ? this.#next(view, [...view.members, joiner], undefined, now)
+      if (learner === undefined) return this.#buildNextView(view, view.members, undefined, now);
+      return this.#peers.get(learner.identity)?.copiedMark === view.mark
+        ? this.#buildNextView(view, [...view.members, learner], undefined, now)
         : undefined;
     }
-    if (view.members.length >= this.#wanted) return undefined;
-    const candidate = this.#candidate(view, now);
-    return candidate === undefined ? undefined : this.#next(view, view.members, candidate, now);
+    if (view.members.length >= this.#wantedMembers) return undefined;
+    const candidate = this.#learnerCandidate(view, now);
+    return candidate === undefined
+      ? undefined
+      : this.#buildNextView(view, view.members, candidate, now);
   }
 
-  /** A view of fewer than three keeps voters that are no members, those that live first, so the loss of one more can be agreed on (§2.3). */
-  #next(
+  /**
+   * Builds the next view. If it has fewer members than wanted, it keeps voters that are not members, reachable ones first, so that the
+   * group can still agree after the loss of one more machine (docs/design.md §2.3).
+   */
+  #buildNextView(
     view: ChainView,
     members: readonly Member[],
-    joiner: Member | undefined,
+    learner: Member | undefined,
     now: number,
   ): ChainView {
     const voters: Member[] = [...members];
     const holders = holdersOf(view);
-    const before = votersOf(view);
+    const previousVoters = votersOf(view);
     for (const other of [
-      ...(joiner === undefined ? [] : [joiner]),
-      ...this.#peers.alive(before, now),
+      ...(learner === undefined ? [] : [learner]),
+      ...this.#peers.alive(previousVoters, now),
       ...holders,
-      ...before,
+      ...previousVoters,
     ]) {
-      if (voters.length < this.#wanted && !voters.some(hasIdentity, { identity: other.identity }))
+      if (
+        voters.length < this.#wantedMembers &&
+        !voters.some(hasIdentity, { identity: other.identity })
+      )
         voters.push(other);
     }
     return {
       mark: view.mark + 1,
       members,
-      ...(joiner === undefined ? {} : { joiner }),
+      ...(learner === undefined ? {} : { joiner: learner }),
       ...(voters.length > members.length ? { voters } : {}),
-      ...(members.length < this.#least ? { holders } : {}),
+      ...(members.length < this.#minimumCopies ? { holders } : {}),
     };
   }
 
-  #candidate(view: ChainView, now: number): Member | undefined {
+  /** The machine to add as learner: the first by identity that is reachable from all members. */
+  #learnerCandidate(view: ChainView, now: number): Member | undefined {
     const inView = [...view.members, ...holdersOf(view)];
     const candidates: Member[] = [];
     for (const { member } of this.#peers.joinable(now)) {
@@ -299,46 +319,53 @@
     return candidates[0];
   }
 
-  #mend(now: number): ViewCommand[] {
+  /** Proposes a next view if one is needed and it is this machine's turn. */
+  #proposeIfNeeded(now: number): ViewCommand[] {
     const view = this.#state.view!;
-    /** Members first, then who holds all that was confirmed beside them. */
+    // Members come first, then other machines that hold all committed entries.
     const proposers: Member[] = [...view.members];
     for (const holder of holdersOf(view))
       if (!proposers.some(hasIdentity, { identity: holder.identity })) proposers.push(holder);
     const position = proposers.findIndex(hasIdentity, { identity: this.#self.identity });
-    if (position < 0 || (now - this.#startedAt < constants.memberSilence && !this.#knowsAll(now)))
+    if (
+      position < 0 ||
+      (now - this.#listeningSince < constants.memberSilence && !this.#hasHeardFromAll(now))
+    )
       return [];
-    const wished = this.#wish(now);
-    if (wished === undefined) {
-      this.#wishSince = undefined;
+    const desired = this.#desiredView(now);
+    if (desired === undefined) {
+      this.#proposalDelayStart = undefined;
       return [];
     }
-    const isHandover = this.#isHandover(view, wished, now);
-    /** Those who stay must reach each other, so one of them proposes that they go on alone. */
+    const isHandover = this.#isHandover(view, desired, now);
+    // The remaining members must be able to reach each other, so one of them has to propose the view without this machine.
     if (isHandover && this.#leaving) return [];
-    this.#wishSince ??= now;
-    if (now - this.#wishSince < this.#rank(proposers, position, now) * constants.agreeEvery)
+    this.#proposalDelayStart ??= now;
+    if (
+      now - this.#proposalDelayStart <
+      this.#proposerRank(proposers, position, now) * constants.agreeEvery
+    )
       return [];
-    this.#wishSince = now + constants.agreeEvery;
-    this.#round += 1;
-    const ballot: Ballot = { round: this.#round, identity: this.#self.identity };
+    this.#proposalDelayStart = now + constants.agreeEvery;
+    this.#highestRound += 1;
+    const ballot: Ballot = { round: this.#highestRound, identity: this.#self.identity };
     this.#proposal = {
-      mark: wished.mark,
+      mark: desired.mark,
       ballot,
-      wished,
+      desired,
       isHandover,
       promises: new Map(),
       accepts: new Set(),
       value: undefined,
     };
-    return this.#toVoters({ kind: "prepare", mark: wished.mark, ballot }, now);
+    return this.#sendToVoters({ kind: "prepare", mark: desired.mark, ballot }, now);
   }
 
-  /** Proposers that are there and come before this one; those that leave come last. */
-  #rank(proposers: readonly Member[], position: number, now: number): number {
-    const before = this.#leaving ? proposers : proposers.slice(0, position);
+  /** Number of reachable proposers ahead of this one; machines that announced their shutdown come last. */
+  #proposerRank(proposers: readonly Member[], position: number, now: number): number {
+    const earlierProposers = this.#leaving ? proposers : proposers.slice(0, position);
     let rank = 0;
-    for (const { identity } of before)
+    for (const { identity } of earlierProposers)
       if (
         !this.#isLeaving(identity) &&
         this.#peers.heardWithin(identity, constants.memberSilence, now)
@@ -347,30 +374,34 @@
     return rank;
   }
 
-  /** Whether a wished view leaves out a member that is there and stops as planned. */
-  #isHandover(view: ChainView, wished: ChainView, now: number): boolean {
+  /** Whether a proposed view leaves out a reachable member because of its planned shutdown. */
+  #isHandover(view: ChainView, desired: ChainView, now: number): boolean {
     for (const { identity } of this.#peers.alive(view.members, now))
-      if (this.#isLeaving(identity) && !wished.members.some(hasIdentity, { identity })) return true;
+      if (this.#isLeaving(identity) && !desired.members.some(hasIdentity, { identity }))
+        return true;
     return false;
   }
 
   /**
-   * Whether those who stay can go on by themselves: a promise just given shows that its giver is there and is reached both ways, where
-   * a greeting may be as old as silence takes (§8.6).
+   * Whether the remaining machines can operate by themselves. A promise for the current ballot proves that its sender is reachable in
+   * both directions, whereas a heartbeat may be as old as the failure timeout (docs/design.md §8.6).
    */
-  #canGoOn({ wished, promises }: Proposal): boolean {
+  #canOperateAlone({ desired, promises }: Proposal): boolean {
     let voters = 0;
     let copies = 0;
     for (const identity of promises.keys()) {
       if (this.#isLeaving(identity)) continue;
-      if (votersOf(wished).some(hasIdentity, { identity })) voters += 1;
-      if (wished.members.some(hasIdentity, { identity })) copies += 1;
+      if (votersOf(desired).some(hasIdentity, { identity })) voters += 1;
+      if (desired.members.some(hasIdentity, { identity })) copies += 1;
     }
-    return voters >= majority(wished) && copies >= this.#least;
+    return voters >= majority(desired) && copies >= this.#minimumCopies;
   }
 
-  /** Whether everybody in the view was heard, or another identity at the address, so that nothing is judged from silence. */
-  #knowsAll(now: number): boolean {
+  /**
+   * Whether each machine in the view, or another identity at its address, has sent a heartbeat, so that no machine is considered
+   * failed only because this one has just started.
+   */
+  #hasHeardFromAll(now: number): boolean {
     const view = this.#state.view!;
     for (const member of [
       ...holdersOf(view),
@@ -386,8 +417,8 @@
     return true;
   }
 
-  /** A message to every voter of the view, this one included, which takes it at once. */
-  #toVoters(message: ViewMessage, now: number): ViewCommand[] {
+  /** Sends a message to every voter of the view; this machine processes its own copy at once. */
+  #sendToVoters(message: ViewMessage, now: number): ViewCommand[] {
     const commands: ViewCommand[] = [];
     for (const member of votersOf(this.#state.view!)) {
       if (member.identity !== this.#self.identity)
@@ -398,37 +429,37 @@
   }
 
   receive(message: ViewMessage, from: string, now: number): ViewCommand[] {
-    if (message.kind === "greet") return this.#greeted(message, now);
+    if (message.kind === "greet") return this.#receiveHeartbeat(message, now);
     const view = this.#state.view;
     if (view === undefined) return [];
     if (message.mark !== view.mark + 1)
-      return message.mark <= view.mark ? this.#reply(from, this.#greeting(), now) : [];
+      return message.mark <= view.mark ? this.#reply(from, this.#heartbeat(), now) : [];
     switch (message.kind) {
       case "prepare":
-        return this.#prepare(message, from, now);
+        return this.#receivePrepare(message, from, now);
       case "promise":
-        return this.#promise(message, now);
+        return this.#receivePromise(message, now);
       case "accept":
-        return this.#accept(message, from, now);
+        return this.#receiveAccept(message, from, now);
       case "accepted":
-        return this.#acceptedBy(message);
+        return this.#receiveAccepted(message);
       case "overtaken":
-        this.#round = Math.max(this.#round, message.ballot.round);
+        this.#highestRound = Math.max(this.#highestRound, message.ballot.round);
         return [];
     }
   }
 
-  #greeting(): ViewMessage {
+  #heartbeat(): ViewMessage {
     return {
       kind: "greet",
       member: this.#self,
       view: this.#state.view,
       founding: this.#state.founding,
-      copiedMark: this.#copiedMark,
+      copiedMark: this.#copiedEpoch,
       leaving: this.#leaving,
-      ...(this.#beatAt - this.#startedAt < constants.memberSilence
+      ...(this.#lastTickAt - this.#listeningSince < constants.memberSilence
         ? {}
-        : { hears: this.#peers.heardLately(this.#beatAt) }),
+        : { hears: this.#peers.heardLately(this.#lastTickAt) }),
     };
   }
 
@@ -437,28 +468,29 @@
     return message.kind === "greet" ? [] : this.receive(message, to, now);
   }
 
-  #greeted(message: Greeting, now: number): ViewCommand[] {
+  #receiveHeartbeat(message: Greeting, now: number): ViewCommand[] {
     if (!this.#peers.greeted(message, now)) return [];
-    this.#settle(now);
+    this.#recordSettled(now);
     if (message.view !== undefined && message.view.mark > (this.#state.view?.mark ?? 0))
-      return this.#decide(message.view);
+      return this.#adoptView(message.view);
     return [];
   }
 
-  #decide(view: ChainView): ViewCommand[] {
+  /** Adopts a decided view, and announces it when it is durable. */
+  #adoptView(view: ChainView): ViewCommand[] {
     if (this.#state.view !== undefined && this.#state.view.mark >= view.mark) return [];
     this.#proposal = undefined;
-    this.#wishSince = undefined;
-    this.#settledBefore = this.#settledSince;
-    this.#settledSince = undefined;
+    this.#proposalDelayStart = undefined;
+    this.#previousSettledAt = this.#settledAt;
+    this.#settledAt = undefined;
     const decided: ViewCommand = { kind: "decided", view };
-    return this.#keep({ view, founding: undefined, promised: undefined, accepted: undefined }, [
+    return this.#persist({ view, founding: undefined, promised: undefined, accepted: undefined }, [
       decided,
-      ...this.#greetings(),
+      ...this.#heartbeats(),
     ]);
   }
 
-  #prepare(
+  #receivePrepare(
     message: Extract<ViewMessage, { kind: "prepare" }>,
     from: string,
     now: number,
@@ -473,33 +505,33 @@
       member: this.#self.identity,
       accepted: this.#state.accepted,
     };
-    return this.#keep({ ...this.#state, promised: message.ballot }, [
+    return this.#persist({ ...this.#state, promised: message.ballot }, [
       { kind: "send", to: from, message: result },
     ]);
   }
 
-  #promise(message: Extract<ViewMessage, { kind: "promise" }>, now: number): ViewCommand[] {
-    const held = this.#proposal;
+  #receivePromise(message: Extract<ViewMessage, { kind: "promise" }>, now: number): ViewCommand[] {
+    const proposal = this.#proposal;
     if (
-      held === undefined ||
-      held.value !== undefined ||
-      held.mark !== message.mark ||
-      !isSameBallot(held.ballot, message.ballot)
+      proposal === undefined ||
+      proposal.value !== undefined ||
+      proposal.mark !== message.mark ||
+      !isSameBallot(proposal.ballot, message.ballot)
     )
       return [];
     if (!votersOf(this.#state.view!).some(hasIdentity, { identity: message.member })) return [];
-    held.promises.set(message.member, message.accepted);
-    if (held.promises.size < majority(this.#state.view!)) return [];
-    const best = highestAccepted(held.promises.values());
-    if (best === undefined && held.isHandover && !this.#canGoOn(held)) return [];
-    held.value = best?.view ?? held.wished;
-    return this.#toVoters(
-      { kind: "accept", mark: held.mark, ballot: held.ballot, view: held.value },
+    proposal.promises.set(message.member, message.accepted);
+    if (proposal.promises.size < majority(this.#state.view!)) return [];
+    const best = highestAccepted(proposal.promises.values());
+    if (best === undefined && proposal.isHandover && !this.#canOperateAlone(proposal)) return [];
+    proposal.value = best?.view ?? proposal.desired;
+    return this.#sendToVoters(
+      { kind: "accept", mark: proposal.mark, ballot: proposal.ballot, view: proposal.value },
       now,
     );
   }
 
-  #accept(
+  #receiveAccept(
     message: Extract<ViewMessage, { kind: "accept" }>,
     from: string,
     now: number,
@@ -513,7 +545,7 @@
       ballot: message.ballot,
       member: this.#self.identity,
     };
-    return this.#keep(
+    return this.#persist(
       {
         ...this.#state,
         promised: message.ballot,
@@ -523,18 +555,18 @@
     );
   }
 
-  #acceptedBy(message: Extract<ViewMessage, { kind: "accepted" }>): ViewCommand[] {
-    const held = this.#proposal;
+  #receiveAccepted(message: Extract<ViewMessage, { kind: "accepted" }>): ViewCommand[] {
+    const proposal = this.#proposal;
     if (
-      held === undefined ||
-      held.value === undefined ||
-      held.mark !== message.mark ||
-      !isSameBallot(held.ballot, message.ballot)
+      proposal === undefined ||
+      proposal.value === undefined ||
+      proposal.mark !== message.mark ||
+      !isSameBallot(proposal.ballot, message.ballot)
     )
       return [];
     if (!votersOf(this.#state.view!).some(hasIdentity, { identity: message.member })) return [];
-    held.accepts.add(message.member);
-    if (held.accepts.size < majority(this.#state.view!)) return [];
-    return this.#decide(held.value);
+    proposal.accepts.add(message.member);
+    if (proposal.accepts.size < majority(this.#state.view!)) return [];
+    return this.#adoptView(proposal.value);
   }
 }
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -24,8 +24,8 @@
     guard: "a proposer takes over what was accepted",
     invariant: "one view for a number",
     cuts: [
-      { file: agreement, from: "best?.view ?? held.wished", to: "held.wished" },
-      { file: agreement, from: "held.promises.size < majority(this.#state.view)", to: "false" },
+      { file: agreement, from: "best?.view ?? proposal.desired", to: "proposal.desired" },
+      { file: agreement, from: "proposal.promises.size < majority(this.#state.view)", to: "false" },
     ],
   },
   {
@@ -33,8 +33,8 @@
     guard: "a vote needs a majority",
     invariant: "one view for a number",
     cuts: [
-      { file: agreement, from: "held.accepts.size < majority(this.#state.view)", to: "false" },
-      { file: agreement, from: "held.promises.size < majority(this.#state.view)", to: "false" },
+      { file: agreement, from: "proposal.accepts.size < majority(this.#state.view)", to: "false" },
+      { file: agreement, from: "proposal.promises.size < majority(this.#state.view)", to: "false" },
     ],
   },
   {
@@ -44,8 +44,8 @@
     cuts: [
       {
         file: chain,
-        from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
-        to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
+        from: "commands.push(...this.#propagate(now));\n        if (isSameMember(this.#view.joiner, this.#self)) {",
+        to: "if (this.position === 0) commands.push(...this.#commit(this.#durableIndex, now)); commands.push(...this.#propagate(now)); if (isSameMember(this.#view.joiner, this.#self)) {",
       },
       { file: control, from: "held.inForceBy <= covered", to: "true" },
     ],
@@ -70,7 +70,7 @@
       {
         file: chain,
         from: "this.#probes.set(probe.number, probe);",
-        to: 'return [{ kind: "result", ticket, result: { kind: "confirmed", place: this.#place, value } }];',
+        to: 'return [{ kind: "result", ticket, result: { kind: "confirmed", place: this.#lastIndex, value } }];',
       },
       {
         file: control,
@@ -141,7 +141,7 @@
     cuts: [
       {
         file: agreement,
-        from: "return this.#peers.get(joiner.identity)?.copiedMark === view.mark",
+        from: "return this.#peers.get(learner.identity)?.copiedMark === view.mark",
         to: "return true",
       },
     ],
@@ -153,7 +153,7 @@
     cuts: [
       {
         file: agreement,
-        from: "best === undefined && held.isHandover && !this.#canGoOn(held)",
+        from: "best === undefined && proposal.isHandover && !this.#canOperateAlone(proposal)",
         to: "false",
       },
     ],
@@ -165,7 +165,7 @@
     cuts: [
       {
         file: chain,
-        from: "if (this.#synced > this.#passed)\n            commands.push(...this.#sendEntries(this.#successor, this.#passed, now));",
+        from: "if (this.#durableIndex > this.#sentIndex)\n            commands.push(...this.#sendEntries(this.#successor, this.#sentIndex, now));",
         to: "commands.push(...this.#sendEntries(this.#successor, 0, now));",
       },
     ],
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -88,8 +88,8 @@
     cuts: [
       {
         file: chain,
-        from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
-        to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
+        from: "commands.push(...this.#propagate(now));\n        if (isSameMember(this.#view.joiner, this.#self)) {",
+        to: "if (this.position === 0) commands.push(...this.#commit(this.#durableIndex, now)); commands.push(...this.#propagate(now)); if (isSameMember(this.#view.joiner, this.#self)) {",
       },
     ],
   },
@@ -147,8 +147,8 @@
     cuts: [
       {
         file: chain,
-        from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
-        to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
+        from: "commands.push(...this.#propagate(now));\n        if (isSameMember(this.#view.joiner, this.#self)) {",
+        to: "if (this.position === 0) commands.push(...this.#commit(this.#durableIndex, now)); commands.push(...this.#propagate(now)); if (isSameMember(this.#view.joiner, this.#self)) {",
       },
       {
         file: control,
