--- a/packages/parts/src/feed.ts
+++ b/packages/parts/src/feed.ts
@@ -1,162 +1,173 @@
+/** Feed of committed control changes from the control machines to the other nodes (docs/design.md §4). */
 import { constants } from "./constants.js";
 import type { Change } from "./ledger.js";
 
-/** The numbered feed of confirmed control changes (docs/design.md §4). */
+/** Changes since the feed index of the follower, or a snapshot of all records; `place` is a feed index. */
 export type FeedMessage =
   | { readonly kind: "feed"; readonly entries: readonly FeedEntry[] }
   | { readonly kind: "feed-digest"; readonly place: number; readonly records: readonly Change[] };
 
+/** Changes made at one feed index. */
 export interface FeedEntry {
+  /** Feed index of the entry. */
   readonly place: number;
   readonly changes: readonly Change[];
 }
 
-/** What of a record goes to those who follow; undefined: it is not for them. */
+/** Maps a record to the value that followers receive, or to undefined if it is not published. */
 export type Published = (key: string, value: unknown) => unknown;
 
-/** The keys that one place changed. */
+/** Keys changed at one feed index. */
 interface ChangedKeys {
   readonly place: number;
   readonly keys: readonly string[];
 }
 
 /**
- * Publishing side: the newest value of each confirmed record, and which records each of the last places changed. One that is
- * behind gets each changed record once, with the place that changed it last, so what it is sent never outgrows the records
- * themselves, however many changes it missed.
+ * Publishing side: holds the newest value of each committed record, and the keys changed at each of the last feed indexes. A follower
+ * that is behind receives each changed record once, at the index that changed it last, so a message is never larger than the records
+ * themselves, however many changes the follower missed.
  */
 export class Feed {
-  #place = 0;
+  #feedIndex = 0;
   #records = new Map<string, unknown>();
   #recent: ChangedKeys[] = [];
-  /** The last place that changed each key, of those in `#recent`. */
-  #changedAt = new Map<string, number>();
-  /** Messages made since the last change, by the place that they go on from. */
-  #made = new Map<number, FeedMessage>();
-  #published: Published;
+  /** For each key in `#recent`, the feed index that changed it last. */
+  #lastChangedAt = new Map<string, number>();
+  /** Messages built since the last change, by the feed index that they start after. */
+  #builtMessages = new Map<number, FeedMessage>();
+  #toPublishedValue: Published;
 
-  constructor(published: Published = asItIs) {
-    this.#published = published;
+  constructor(published: Published = publishUnchanged) {
+    this.#toPublishedValue = published;
   }
 
+  /** Feed index of the last change. */
   get place(): number {
-    return this.#place;
+    return this.#feedIndex;
   }
 
   read<Value>(key: string): Value | undefined {
     return this.#records.get(key) as Value | undefined;
   }
 
+  /** Records whose keys start with a prefix. */
   *under<Value>(prefix: string): Generator<[string, Value]> {
     for (const [key, value] of this.#records)
       if (key.startsWith(prefix)) yield [key, value as Value];
   }
 
-  take(place: number, changes: readonly Change[]): void {
-    if (place !== this.#place + 1) return;
-    this.#place = place;
-    this.#made.clear();
-    const published = this.#publishedOf(changes);
+  /** Appends the changes made at the next feed index; ignores any other index. */
+  take(feedIndex: number, changes: readonly Change[]): void {
+    if (feedIndex !== this.#feedIndex + 1) return;
+    this.#feedIndex = feedIndex;
+    this.#builtMessages.clear();
+    const published = this.#toPublished(changes);
     applyTo(this.#records, published);
     const changed: string[] = [];
     for (const [key] of published) {
       changed.push(key);
-      this.#changedAt.set(key, place);
+      this.#lastChangedAt.set(key, feedIndex);
     }
-    this.#recent.push({ place, keys: changed });
-    if (this.#recent.length > constants.feedKept) this.#forgetOldest();
+    this.#recent.push({ place: feedIndex, keys: changed });
+    if (this.#recent.length > constants.feedKept) this.#dropOldest();
   }
 
-  restore(place: number, records: readonly Change[]): void {
-    if (place < this.#place) return;
-    this.#place = place;
-    this.#made.clear();
+  /** Replaces all records; followers that are behind then receive a snapshot. */
+  restore(feedIndex: number, records: readonly Change[]): void {
+    if (feedIndex < this.#feedIndex) return;
+    this.#feedIndex = feedIndex;
+    this.#builtMessages.clear();
     this.#records = new Map();
-    applyTo(this.#records, this.#publishedOf(records));
+    applyTo(this.#records, this.#toPublished(records));
     this.#recent = [];
-    this.#changedAt.clear();
+    this.#lastChangedAt.clear();
   }
 
-  /** What one that stands at a place still misses. */
-  since(place: number): FeedMessage | undefined {
-    if (place >= this.#place) return undefined;
-    const made = this.#made.get(place) ?? this.#make(place);
-    this.#made.set(place, made);
-    return made;
+  /** The message that a follower at a feed index still needs, or undefined if it is up to date. */
+  since(feedIndex: number): FeedMessage | undefined {
+    if (feedIndex >= this.#feedIndex) return undefined;
+    const message = this.#builtMessages.get(feedIndex) ?? this.#buildMessage(feedIndex);
+    this.#builtMessages.set(feedIndex, message);
+    return message;
   }
 
-  #make(place: number): FeedMessage {
-    const first = this.#recent[0]?.place ?? this.#place + 1;
-    if (place === 0 || place + 1 < first)
-      return { kind: "feed-digest", place: this.#place, records: [...this.#records] };
+  #buildMessage(feedIndex: number): FeedMessage {
+    const first = this.#recent[0]?.place ?? this.#feedIndex + 1;
+    if (feedIndex === 0 || feedIndex + 1 < first)
+      return { kind: "feed-digest", place: this.#feedIndex, records: [...this.#records] };
     const entries: FeedEntry[] = [];
-    for (const changed of this.#recent.slice(place + 1 - first))
-      entries.push({ place: changed.place, changes: this.#lastChangedAt(changed) });
+    for (const changed of this.#recent.slice(feedIndex + 1 - first))
+      entries.push({ place: changed.place, changes: this.#changesLastMadeAt(changed) });
     return { kind: "feed", entries };
   }
 
-  /** What a place changed, but for what was changed again since. */
-  #lastChangedAt({ place, keys }: ChangedKeys): Change[] {
+  /** Changes made at a feed index, without records that have changed again since. */
+  #changesLastMadeAt({ place, keys }: ChangedKeys): Change[] {
     const changes: Change[] = [];
     for (const key of keys)
-      if (this.#changedAt.get(key) === place) changes.push([key, this.#records.get(key)]);
+      if (this.#lastChangedAt.get(key) === place) changes.push([key, this.#records.get(key)]);
     return changes;
   }
 
-  #forgetOldest(): void {
+  #dropOldest(): void {
     const { place, keys } = this.#recent.shift()!;
-    for (const key of keys) if (this.#changedAt.get(key) === place) this.#changedAt.delete(key);
+    for (const key of keys)
+      if (this.#lastChangedAt.get(key) === place) this.#lastChangedAt.delete(key);
   }
 
-  #publishedOf(changes: readonly Change[]): Change[] {
-    const found: Change[] = [];
+  #toPublished(changes: readonly Change[]): Change[] {
+    const publishedChanges: Change[] = [];
     for (const [key, value] of changes) {
-      const published = value === undefined ? undefined : this.#published(key, value);
-      if (published !== undefined || value === undefined) found.push([key, published]);
+      const publishedValue = value === undefined ? undefined : this.#toPublishedValue(key, value);
+      if (publishedValue !== undefined || value === undefined)
+        publishedChanges.push([key, publishedValue]);
     }
-    return found;
+    return publishedChanges;
   }
 }
 
-function asItIs(_key: string, value: unknown): unknown {
+function publishUnchanged(_key: string, value: unknown): unknown {
   return value;
 }
 
-/** Following side: it only ever goes on. */
+/** Following side: applies the messages of a feed; its feed index never decreases. */
 export class Follower {
-  #place = 0;
+  #feedIndex = 0;
   #records = new Map<string, unknown>();
 
+  /** Feed index of the last change that was applied. */
   get place(): number {
-    return this.#place;
+    return this.#feedIndex;
   }
 
   read<Value>(key: string): Value | undefined {
     return this.#records.get(key) as Value | undefined;
   }
 
+  /** Records whose keys start with a prefix. */
   *under<Value>(prefix: string): Generator<[string, Value]> {
     for (const [key, value] of this.#records)
       if (key.startsWith(prefix)) yield [key, value as Value];
   }
 
-  /** True when something new was taken. */
+  /** Applies a message; returns whether it contained anything new. */
   receive(message: FeedMessage): boolean {
     if (message.kind === "feed-digest") {
-      if (message.place <= this.#place) return false;
-      this.#place = message.place;
+      if (message.place <= this.#feedIndex) return false;
+      this.#feedIndex = message.place;
       this.#records = new Map();
       applyTo(this.#records, message.records);
       return true;
     }
-    let taken = false;
+    let hasNew = false;
     for (const entry of message.entries) {
-      if (entry.place !== this.#place + 1) continue;
-      this.#place = entry.place;
+      if (entry.place !== this.#feedIndex + 1) continue;
+      this.#feedIndex = entry.place;
       applyTo(this.#records, entry.changes);
-      taken = true;
+      hasNew = true;
     }
-    return taken;
+    return hasNew;
   }
 }
 
--- a/packages/parts/src/tombstones.ts
+++ b/packages/parts/src/tombstones.ts
@@ -1,57 +1,61 @@
+/** Tombstones: records that remain of a lot (a batch job) after its results were deleted (docs/design.md §5.6). */
 import { constants } from "./constants.js";
 import type { Ledger } from "./ledger.js";
 
-/** What is left of a lot when its results are no longer kept (docs/design.md §5.6). */
+/** Record that remains of a lot after its results were deleted. */
 export interface Tombstone {
+  /** Identifier of the lot. */
   readonly lot: string;
 }
 
-/** Tombstones of one kind of lots: records under a prefix, forgotten a day after the lot ended. */
-export class Tombstones<Stone extends Tombstone> {
+/** Tombstones of one kind of lot: records under a key prefix, removed `lotForgets` after the lot ended. */
+export class Tombstones<Kind extends Tombstone> {
   #prefix: string;
-  #endedAt: (stone: Stone) => number;
-  /** In the order in which they are to be forgotten; derived from the ledger. */
-  #stones: Stone[] = [];
+  #endedAt: (tombstone: Kind) => number;
+  /** Tombstones in order of expiry; derived from the ledger. */
+  #byExpiry: Kind[] = [];
 
-  /** endedAt: ledger time at which the lot ended. */
-  constructor(prefix: string, endedAt: (stone: Stone) => number) {
+  /** `endedAt` returns the ledger time at which a tombstone's lot ended. */
+  constructor(prefix: string, endedAt: (tombstone: Kind) => number) {
     this.#prefix = prefix;
     this.#endedAt = endedAt;
   }
 
+  /** Rebuilds the expiry order from the ledger. */
   rebuild(ledger: Ledger): void {
-    this.#stones = [];
-    for (const [, stone] of ledger.under<Stone>(this.#prefix)) this.#stones.push(stone);
-    this.#stones.sort((left, right) => this.#compare(left, right));
+    this.#byExpiry = [];
+    for (const [, tombstone] of ledger.under<Kind>(this.#prefix)) this.#byExpiry.push(tombstone);
+    this.#byExpiry.sort((left, right) => this.#compareExpiry(left, right));
   }
 
-  read(ledger: Ledger, lot: string): Stone | undefined {
-    return ledger.read<Stone>(this.#prefix + lot);
+  read(ledger: Ledger, lot: string): Kind | undefined {
+    return ledger.read<Kind>(this.#prefix + lot);
   }
 
-  put(ledger: Ledger, stone: Stone): void {
-    ledger.put(this.#prefix + stone.lot, stone);
-    let at = this.#stones.length;
-    while (at > 0 && this.#compare(stone, this.#stones[at - 1]!) < 0) at -= 1;
-    this.#stones.splice(at, 0, stone);
+  put(ledger: Ledger, tombstone: Kind): void {
+    ledger.put(this.#prefix + tombstone.lot, tombstone);
+    let index = this.#byExpiry.length;
+    while (index > 0 && this.#compareExpiry(tombstone, this.#byExpiry[index - 1]!) < 0) index -= 1;
+    this.#byExpiry.splice(index, 0, tombstone);
   }
 
+  /** Whether at least one tombstone has expired. */
   isDue(time: number): boolean {
-    const first = this.#stones[0];
-    return first !== undefined && this.#endedAt(first) + constants.lotForgets <= time;
+    const oldest = this.#byExpiry[0];
+    return oldest !== undefined && this.#endedAt(oldest) + constants.lotForgets <= time;
   }
 
-  /** Forgets those whose time is over; returns how many. */
+  /** Removes expired tombstones; returns their number. */
   forgetDue(ledger: Ledger, time: number): number {
-    let count = 0;
+    let removed = 0;
     while (this.isDue(time)) {
-      ledger.remove(this.#prefix + this.#stones.shift()!.lot);
-      count += 1;
+      ledger.remove(this.#prefix + this.#byExpiry.shift()!.lot);
+      removed += 1;
     }
-    return count;
+    return removed;
   }
 
-  #compare(left: Stone, right: Stone): number {
+  #compareExpiry(left: Kind, right: Kind): number {
     return this.#endedAt(left) - this.#endedAt(right) || (left.lot < right.lot ? -1 : 1);
   }
 }
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -138,7 +138,7 @@
   "a follower only goes on": {
     section: "§4.1, §7.1",
     cuts: [
-      { file: feed, from: "if (message.place <= this.#place)", to: "if (false)" },
+      { file: feed, from: "if (message.place <= this.#feedIndex)", to: "if (false)" },
       { file: session, from: "grant.place <= place", to: "true" },
     ],
   },
