--- a/features/steps/copies.ts
+++ b/features/steps/copies.ts
@@ -32,7 +32,7 @@
   }
 
   rebuild(): void {
-    // Nothing is derived.
+    // There is no derived state.
   }
 }
 
@@ -55,15 +55,18 @@
   };
 }
 
-function policyFor(losses: number): Policy {
-  const worked = policy.from(bounds(losses));
-  if (!worked.ok) throw new Error(worked.reason);
-  return worked.value;
+function policyForLosses(losses: number): Policy {
+  const derived = policy.from(bounds(losses));
+  if (!derived.ok) throw new Error(derived.reason);
+  return derived.value;
 }
 
-/** Plays the chain to its end; everything written is synced at once, and how many had synced the entry when it was told is noted. */
-function asked(this: World, copies: number, losses: number): void {
-  const { copiesLeast } = policyFor(losses);
+/**
+ * Submits one change and runs the chain until it has a result. Writes are durable at once; counts the replicas on which the entry was
+ * durable when the result was returned.
+ */
+function submitChange(this: World, copies: number, losses: number): void {
+  const { copiesLeast } = policyForLosses(losses);
   const members: Member[] = [];
   for (let index = 0; index < copies; index += 1)
     members.push({ identity: `m${index}`, address: `a${index}` });
@@ -97,22 +100,22 @@
 }
 
 When(
-  "a chain of {int} copies is asked for a change where {int} machines may be lost at once",
-  asked,
+  "a change is submitted to a chain of {int} replicas where {int} machines may be lost at once",
+  submitChange,
 );
 
-function surelyNot(this: World): void {
+function checkNotAccepted(this: World): void {
   equal(this.result?.kind, "elsewhere");
 }
-Then("the change is surely not taken", surelyNot);
+Then("the change is not accepted", checkNotAccepted);
 
-function onAll(this: World, count: number): void {
+function checkCommittedOnAll(this: World, count: number): void {
   equal(this.result?.kind, "confirmed");
   deepEqual(this.synced, count);
 }
-Then("the change is confirmed on all {int}", onAll);
+Then("the change is committed on all {int}", checkCommittedOnAll);
 
-class Shelf implements Machine {
+class ThousandKeysMachine implements Machine {
   apply(ledger: Ledger, command: unknown): unknown {
     const { from } = command as { from: number };
     for (let index = from; index < from + 1_000; index += 1) ledger.put(`k${index}`, index);
@@ -120,21 +123,21 @@
   }
 
   rebuild(): void {
-    // Nothing is derived.
+    // There is no derived state.
   }
 }
 
-const [head, tail, blank]: Member[] = [
+const [head, tail, learner]: Member[] = [
   { identity: "m0", address: "a0" },
   { identity: "m1", address: "a1" },
   { identity: "m2", address: "a2" },
 ];
 
-function twoCopies(this: World, kind: string): void {
+function givenTwoReplicas(this: World, kind: string): void {
   this.late = kind.includes("later");
   const pair = new Map<string, Chain>([
-    ["a0", new Chain("q", head!, new Shelf(), 0)],
-    ["a1", new Chain("q", tail!, new Shelf(), 0)],
+    ["a0", new Chain("q", head!, new ThousandKeysMachine(), 0)],
+    ["a1", new Chain("q", tail!, new ThousandKeysMachine(), 0)],
   ]);
   const queue: [string, ChainCommand][] = [];
   for (const [address, chain] of pair)
@@ -158,19 +161,19 @@
     settle();
   }
   this.source = pair.get("a1")!;
-  this.joiner = new Chain("q", blank!, new Shelf(), 0);
+  this.joiner = new Chain("q", learner!, new ThousandKeysMachine(), 0);
 }
-Given(/^two copies of a chain with 20,000 records, and a blank machine (.+)$/, twoCopies);
+Given(/^two copies of a chain with 20,000 records, and a blank machine (.+)$/, givenTwoReplicas);
 
-/** The head's part of the view does not matter to the copy: it goes from the tail to the blank. */
-function copiedOver(this: World, each: number, holds: number): void {
+/** Runs only the tail and the learner: the head takes no part in sending a snapshot. */
+function sendSnapshotOverLink(this: World, each: number, buffered: number): void {
   const { joiner, source, late } = this;
   const chains = new Map<string, Chain>([
     ["a1", source],
     ["a2", joiner],
   ]);
   const link: ChainMessage[] = [];
-  let waiting: ChainMessage[] = [];
+  let delayed: ChainMessage[] = [];
   let now = 0;
   function perform(address: string, commands: readonly ChainCommand[]): void {
     for (const command of commands) {
@@ -181,34 +184,34 @@
         command.to === "a2" &&
         command.message.kind === "digest"
       ) {
-        if (link.length < each + holds) link.push(command.message);
+        if (link.length < each + buffered) link.push(command.message);
       } else if (command.kind === "send" && chains.has(command.to))
         perform(command.to, chains.get(command.to)!.receive(command.message, address, now));
     }
   }
-  const view = { mark: 2, members: [head!, tail!], joiner: blank! };
+  const view = { mark: 2, members: [head!, tail!], joiner: learner! };
   for (const [address, chain] of chains) perform(address, chain.adopt(view, now));
   while (now < 10_000 && joiner.copiedMark !== 2) {
     now += 50;
     const carried = link.splice(0, each);
-    const arrived = late ? waiting : carried;
-    waiting = late ? carried : [];
+    const arrived = late ? delayed : carried;
+    delayed = late ? carried : [];
     for (const message of arrived) perform("a2", joiner.receive(message, "a1", now));
     for (const [address, chain] of chains) perform(address, chain.beat(now));
   }
 }
 When(
-  "the link to it carries {int} pieces of the copy each beat, holds {int} more and drops the others",
-  copiedOver,
+  "the link to it carries {int} pieces of the snapshot each tick, buffers {int} more and drops the others",
+  sendSnapshotOverLink,
 );
 
-function isWhole(this: World): void {
+function checkCompleteCopy(this: World): void {
   equal(this.joiner.copiedMark, 2);
   equal(this.joiner.ledger.size, 20_000);
 }
-Then("the copy is whole within 10 s", isWhole);
+Then("the copy is complete within 10 s", checkCompleteCopy);
 
-function said(sessions: Sessions, place: number, askedAt: number): void {
+function receiveHeartbeat(sessions: Sessions, place: number, askedAt: number): void {
   const card: NodeCard = {
     identity: "storage-1",
     address: "a",
@@ -223,25 +226,34 @@
   sessions.heard(card, 10_000, 11_400, 0, 0, askedAt);
 }
 
-function heardLater(this: World): void {
+function receiveNewerHeartbeat(this: World): void {
   this.sessions = new Sessions();
-  said(this.sessions, 8, 1_000);
+  receiveHeartbeat(this.sessions, 8, 1_000);
 }
-Given("a control machine heard a node say place 8 at its 1,000 ms", heardLater);
+Given(
+  "a control machine received feed index 8 from a node, sent at 1,000 ms of its clock",
+  receiveNewerHeartbeat,
+);
 
-function earlierWord(this: World): void {
-  said(this.sessions, 7, 999);
+function receiveOlderHeartbeat(this: World): void {
+  receiveHeartbeat(this.sessions, 7, 999);
 }
-When("the node's word of place 7 at its 999 ms comes after it", earlierWord);
+When(
+  "the node's heartbeat with feed index 7, sent at 999 ms, arrives after it",
+  receiveOlderHeartbeat,
+);
 
-/** More than a second before: no message is that late on a standing session. */
-function newLife(this: World): void {
-  said(this.sessions, 8, 20_000);
-  said(this.sessions, 0, 50);
+/** The send time goes back by more than a second, which no delayed message of the same session does. */
+function receiveFromNewIncarnation(this: World): void {
+  receiveHeartbeat(this.sessions, 8, 20_000);
+  receiveHeartbeat(this.sessions, 0, 50);
 }
-When("the node's word of place 0 at its 50 ms comes, in a new life", newLife);
+When(
+  "a heartbeat with feed index 0, sent at 50 ms of a new incarnation, arrives",
+  receiveFromNewIncarnation,
+);
 
-function countedAt(this: World, place: number): void {
+function checkCountedIndex(this: World, place: number): void {
   equal(this.sessions.covered(100, 10_001), place);
 }
-Then("the control machine counts the node at place {int}", countedAt);
+Then("the control machine counts the node at feed index {int}", checkCountedIndex);
--- a/features/steps/copy.ts
+++ b/features/steps/copy.ts
@@ -12,16 +12,16 @@
 
 interface World {
   chains: Map<string, Chain>;
-  /** Where messages do not arrive. */
-  away: Set<string>;
-  heaviest: number;
+  /** Addresses that no message reaches. */
+  unreachable: Set<string>;
+  largestMessageBytes: number;
   now: number;
   view: ChainView;
   confirmed: number;
-  entered: number;
+  appended: number;
 }
 
-class Shelf implements Machine {
+class KeyValueMachine implements Machine {
   apply(ledger: Ledger, command: unknown): number {
     const { key, value } = command as { key: string; value: Uint8Array };
     ledger.put(key, value);
@@ -29,23 +29,23 @@
   }
 
   rebuild(): void {
-    // Nothing is derived.
+    // There is no derived state.
   }
 }
 
 const packer = new Packr({ useRecords: false });
 const first: Member = { identity: "first", address: "a1" };
 const second: Member = { identity: "second", address: "a2" };
-const blank: Member = { identity: "blank", address: "a3" };
+const learner: Member = { identity: "blank", address: "a3" };
 
-function chainOf(world: World, { identity, address }: Member): Chain {
-  const chain = new Chain("q", { identity, address }, new Shelf(), world.now);
+function addChain(world: World, { identity, address }: Member): Chain {
+  const chain = new Chain("q", { identity, address }, new KeyValueMachine(), world.now);
   world.chains.set(address, chain);
   return chain;
 }
 
-/** Everything written is synced at once; every message is weighed and copied. */
-function play(world: World, from: string, commands: readonly ChainCommand[]): void {
+/** Performs commands until none is left. Writes are durable at once; messages are encoded, which gives their size, and decoded. */
+function performAll(world: World, from: string, commands: readonly ChainCommand[]): void {
   const queue: [string, ChainCommand][] = [];
   for (const command of commands) queue.push([from, command]);
   while (queue.length > 0) {
@@ -56,9 +56,9 @@
       after = world.chains.get(address)!.written(command.ticket, world.now);
     else if (command.kind === "send") {
       const bytes = packer.pack(command.message);
-      world.heaviest = Math.max(world.heaviest, bytes.byteLength);
+      world.largestMessageBytes = Math.max(world.largestMessageBytes, bytes.byteLength);
       at = command.to;
-      if (!world.away.has(at) && !world.away.has(address))
+      if (!world.unreachable.has(at) && !world.unreachable.has(address))
         after = world.chains
           .get(at)!
           .receive(packer.unpack(bytes) as typeof command.message, address, world.now);
@@ -68,92 +68,93 @@
   }
 }
 
-function beats(world: World, seconds: number): void {
-  for (let beat = 0; beat < seconds * 20; beat += 1) {
+function runFor(world: World, seconds: number): void {
+  for (let tick = 0; tick < seconds * 20; tick += 1) {
     world.now += 50;
-    for (const [address, chain] of world.chains) play(world, address, chain.beat(world.now));
+    for (const [address, chain] of world.chains) performAll(world, address, chain.beat(world.now));
   }
 }
 
 function adopt(world: World, view: ChainView): void {
   world.view = view;
-  for (const [address, chain] of world.chains) play(world, address, chain.adopt(view, world.now));
+  for (const [address, chain] of world.chains)
+    performAll(world, address, chain.adopt(view, world.now));
 }
 
-function enter(world: World, count: number, weight: number): void {
+function append(world: World, count: number, weight: number): void {
   for (let number = 0; number < count; number += 1) {
-    world.entered += 1;
+    world.appended += 1;
     world.now += 1;
-    play(
+    performAll(
       world,
       first.address,
       world.chains
         .get(first.address)!
         .inquire(
-          `t${world.entered}`,
-          { key: `key-${world.entered}`, value: new Uint8Array(weight) },
+          `t${world.appended}`,
+          { key: `key-${world.appended}`, value: new Uint8Array(weight) },
           world.now,
         ),
     );
   }
 }
 
-function begin(world: World): void {
+function setUpChain(world: World): void {
   Object.assign(world, {
     chains: new Map(),
-    away: new Set(),
-    heaviest: 0,
+    unreachable: new Set(),
+    largestMessageBytes: 0,
     now: 0,
     confirmed: 0,
-    entered: 0,
+    appended: 0,
   });
-  chainOf(world, first);
-  chainOf(world, second);
+  addChain(world, first);
+  addChain(world, second);
   adopt(world, { mark: 1, members: [first, second] });
 }
 
-function heavyRecords(this: World, count: number, weight: number): void {
-  begin(this);
-  enter(this, count, weight);
+function givenLargeRecords(this: World, count: number, weight: number): void {
+  setUpChain(this);
+  append(this, count, weight);
   equal(this.confirmed, count);
 }
-Given("a chain of two members whose {int} records weigh {int} bytes each", heavyRecords);
+Given("a chain of two members with {int} records of {int} bytes each", givenLargeRecords);
 
-function joins(this: World): void {
-  chainOf(this, blank);
-  adopt(this, { mark: 2, members: [first, second], joiner: blank });
-  beats(this, 10);
+function addLearner(this: World): void {
+  addChain(this, learner);
+  adopt(this, { mark: 2, members: [first, second], joiner: learner });
+  runFor(this, 10);
 }
-When("a blank machine joins it", joins);
+When("an empty machine joins as learner", addLearner);
 
-function holdsAll(this: World, most: number): void {
-  const chain = this.chains.get(blank.address)!;
+function checkCompleteCopy(this: World, limit: number): void {
+  const chain = this.chains.get(learner.address)!;
   equal(chain.copiedMark, 2);
-  equal(chain.place, this.entered);
-  equal(chain.ledger.size, this.entered);
-  ok(this.heaviest <= most, `a message of ${this.heaviest} bytes`);
+  equal(chain.place, this.appended);
+  equal(chain.ledger.size, this.appended);
+  ok(this.largestMessageBytes <= limit, `a message of ${this.largestMessageBytes} bytes`);
 }
-Then("it holds all of it whole, and no message weighed more than {int} bytes", holdsAll);
+Then("its copy is complete, and no message was larger than {int} bytes", checkCompleteCopy);
 
-function enteredAlone(this: World, count: number, weight: number): void {
-  begin(this);
-  this.away.add(second.address);
-  enter(this, count, weight);
+function appendWhileUnreachable(this: World, count: number, weight: number): void {
+  setUpChain(this);
+  this.unreachable.add(second.address);
+  append(this, count, weight);
   equal(this.confirmed, 0);
 }
 Given(
-  "a chain of two members whose second is away while {int} entries of {int} bytes each are entered",
-  enteredAlone,
+  "a chain of two members whose second is unreachable while {int} entries of {int} bytes each are appended",
+  appendWhileUnreachable,
 );
 
-function isBack(this: World): void {
-  this.away.clear();
-  beats(this, 10);
+function makeReachable(this: World): void {
+  this.unreachable.clear();
+  runFor(this, 10);
 }
-When("the second is back", isBack);
+When("the second is reachable again", makeReachable);
 
-function allConfirmed(this: World, most: number): void {
-  equal(this.confirmed, this.entered);
-  ok(this.heaviest <= most, `a message of ${this.heaviest} bytes`);
+function checkAllCommitted(this: World, limit: number): void {
+  equal(this.confirmed, this.appended);
+  ok(this.largestMessageBytes <= limit, `a message of ${this.largestMessageBytes} bytes`);
 }
-Then("all entries are confirmed, and no message weighed more than {int} bytes", allConfirmed);
+Then("all entries are committed, and no message was larger than {int} bytes", checkAllCommitted);
