--- a/features/steps/membership.ts
+++ b/features/steps/membership.ts
@@ -17,7 +17,7 @@
   schedule: Schedule;
 }
 
-class Register implements Machine {
+class RegisterMachine implements Machine {
   apply(ledger: Ledger, command: unknown): number {
     const { value } = command as { value: number };
     ledger.put(`key-${value % 7}`, value);
@@ -25,41 +25,41 @@
   }
 
   rebuild(): void {
-    // Nothing is derived.
+    // There is no derived state.
   }
 }
 
 const head: Member = { identity: "head", address: "a1" };
 const tail: Member = { identity: "tail", address: "a2" };
 const joiner: Member = { identity: "joiner", address: "a3" };
-const withJoiner: ChainView = { mark: 2, members: [head, tail], joiner };
+const viewWithLearner: ChainView = { mark: 2, members: [head, tail], joiner };
 
 interface Delivery {
   readonly at: number;
   readonly act: () => void;
 }
 
-/** ms. One step of a schedule. */
-const stepLasts = 5;
+/** Duration of one step of a schedule. */
+const stepMs = 5;
 
-/** Two members and a joiner over a network that loses and reorders, with disks that keep only what was synced. */
+/** Two members and a learner, over a network that loses and reorders messages, with disks that keep only synced writes. */
 class Schedule {
   readonly chance: Chance;
   readonly chains = new Map<string, Chain>();
   readonly folders = new Map<string, Folder>();
-  readonly #lives = new Map<string, number>();
-  #agenda: Delivery[] = [];
+  readonly #incarnations = new Map<string, number>();
+  #pendingDeliveries: Delivery[] = [];
   now = 0;
   loss = 0;
-  /** ms. */
-  syncLasts = 10;
-  /** Whose writes are not synced. */
+  /** Duration of a sync to disk. */
+  syncMs = 10;
+  /** Addresses of machines whose writes do not complete. */
   readonly stalled = new Set<string>();
   entered = 0;
-  /** Whether the joiner ever told that its copy is whole. */
-  wasWhole = false;
-  /** What went wrong, with its moment. */
-  readonly broken: string[] = [];
+  /** Whether the learner has ever reported a complete copy. */
+  wasComplete = false;
+  /** Violations found, with their time. */
+  readonly violations: string[] = [];
 
   constructor(seed: number) {
     this.chance = new Chance(seed);
@@ -69,24 +69,27 @@
   }
 
   start(member: Member): void {
-    const life = (this.#lives.get(member.address) ?? 0) + 1;
-    this.#lives.set(member.address, life);
-    const holding = this.folders.get(member.address)!.holdings().get("q");
-    this.chains.set(member.address, new Chain("q", member, new Register(), this.now, holding));
+    const incarnation = (this.#incarnations.get(member.address) ?? 0) + 1;
+    this.#incarnations.set(member.address, incarnation);
+    const persisted = this.folders.get(member.address)!.holdings().get("q");
+    this.chains.set(
+      member.address,
+      new Chain("q", member, new RegisterMachine(), this.now, persisted),
+    );
   }
 
   adopt(view: ChainView): void {
     for (const [address, chain] of this.chains) this.#perform(address, chain.adopt(view, this.now));
   }
 
-  /** Another life from what is synced; what is on its way to the one before is gone. */
+  /** Restarts a machine from its synced state; messages to the previous incarnation are lost. */
   restart(member: Member, view: ChainView): void {
     this.start(member);
     const chain = this.chains.get(member.address)!;
     this.#perform(member.address, chain.adopt(view, this.now));
   }
 
-  enter(): void {
+  append(): void {
     this.entered += 1;
     const chain = this.chains.get(head.address)!;
     const command = { value: this.entered };
@@ -94,13 +97,13 @@
   }
 
   step(): void {
-    this.now += stepLasts;
-    const due = this.#agenda.filter(isDue, this).sort(byMoment);
-    this.#agenda = this.#agenda.filter(isLater, this);
+    this.now += stepMs;
+    const due = this.#pendingDeliveries.filter(isDue, this).sort(byTime);
+    this.#pendingDeliveries = this.#pendingDeliveries.filter(isLater, this);
     for (const { act } of due) act();
     if (this.now % constants.beatEvery === 0)
       for (const [address, chain] of this.chains) this.#perform(address, chain.beat(this.now));
-    this.#look();
+    this.#checkLearner();
   }
 
   run(milliseconds: number): void {
@@ -115,15 +118,15 @@
     return most;
   }
 
-  /** The place that the joiner's disk holds. */
-  joinerSynced = 0;
+  /** Log index that is durable on the learner. */
+  learnerDurableIndex = 0;
 
-  #look(): void {
-    const isWhole = this.chains.get(joiner.address)!.copiedMark === withJoiner.mark;
-    this.wasWhole ||= isWhole;
-    if (this.wasWhole && this.confirmed > this.joinerSynced)
-      this.broken.push(
-        `at ${this.now} ms ${this.confirmed} is confirmed, the joiner holds ${this.joinerSynced}`,
+  #checkLearner(): void {
+    const isComplete = this.chains.get(joiner.address)!.copiedMark === viewWithLearner.mark;
+    this.wasComplete ||= isComplete;
+    if (this.wasComplete && this.confirmed > this.learnerDurableIndex)
+      this.violations.push(
+        `at ${this.now} ms ${this.confirmed} is confirmed, the joiner holds ${this.learnerDurableIndex}`,
       );
   }
 
@@ -141,7 +144,7 @@
     function deliver(): void {
       self.#perform(to, self.chains.get(to)!.receive(copy, from, self.now));
     }
-    this.#after(to, this.chance.between(1, 40), deliver);
+    this.#schedule(to, this.chance.between(1, 40), deliver);
   }
 
   #write(address: string, { write, ticket }: Extract<ChainCommand, { kind: "write" }>): void {
@@ -149,22 +152,22 @@
     const copy = folder.copy(write);
     const self = this;
     function synced(): void {
-      if (self.stalled.has(address)) return self.#after(address, stepLasts, synced);
+      if (self.stalled.has(address)) return self.#schedule(address, stepMs, synced);
       folder.write("q", copy);
-      if (address === joiner.address) self.joinerSynced = copy.state.place;
+      if (address === joiner.address) self.learnerDurableIndex = copy.state.place;
       self.#perform(address, self.chains.get(address)!.written(ticket, self.now));
     }
-    this.#after(address, this.syncLasts, synced);
+    this.#schedule(address, this.syncMs, synced);
   }
 
-  /** In this life of the machine only. */
-  #after(address: string, milliseconds: number, act: () => void): void {
-    const life = this.#lives.get(address);
-    const lives = this.#lives;
-    function actInLife(): void {
-      if (lives.get(address) === life) act();
+  /** Schedules an action that runs only if the machine has not restarted by then. */
+  #schedule(address: string, milliseconds: number, act: () => void): void {
+    const incarnation = this.#incarnations.get(address);
+    const incarnations = this.#incarnations;
+    function actInIncarnation(): void {
+      if (incarnations.get(address) === incarnation) act();
     }
-    this.#agenda.push({ at: this.now + milliseconds, act: actInLife });
+    this.#pendingDeliveries.push({ at: this.now + milliseconds, act: actInIncarnation });
   }
 }
 
@@ -176,100 +179,103 @@
   return delivery.at > this.now;
 }
 
-function byMoment(left: Delivery, right: Delivery): number {
+function byTime(left: Delivery, right: Delivery): number {
   return left.at - right.at;
 }
 
-/** ms. How long the faults of a schedule go on, and how long the chain then has to confirm everything. */
-const faultsLast = 4_000;
-const calmLasts = 4_000;
+/** Duration of the faults of a schedule, and the time that the chain then has to commit everything. */
+const faultsMs = 4_000;
+const calmMs = 4_000;
 
-function played(seed: number): Schedule {
+function runSchedule(seed: number): Schedule {
   const schedule = new Schedule(seed);
   const { chance } = schedule;
   schedule.adopt({ mark: 1, members: [head, tail] });
   schedule.run(200);
-  /** Some join a chain that is empty as yet. */
+  // In some schedules the learner joins a chain that is still empty.
   const before = chance.pick([0, 0, 1, 30]);
-  for (let number = 0; number < before; number += 1) schedule.enter();
+  for (let number = 0; number < before; number += 1) schedule.append();
   schedule.run(400);
-  schedule.adopt(withJoiner);
+  schedule.adopt(viewWithLearner);
   schedule.loss = chance.pick([0, 0.05, 0.2]);
   const rate = chance.pick([0.02, 0.1, 0.4]);
   const restarts = chance.pick([0, 0.002, 0.005]);
-  const until = schedule.now + faultsLast;
+  const until = schedule.now + faultsMs;
   while (schedule.now < until) {
-    if (chance.happens(rate)) schedule.enter();
-    if (chance.happens(restarts)) schedule.restart(chance.pick([tail, joiner]), withJoiner);
+    if (chance.happens(rate)) schedule.append();
+    if (chance.happens(restarts)) schedule.restart(chance.pick([tail, joiner]), viewWithLearner);
     schedule.step();
   }
   schedule.loss = 0;
-  schedule.run(calmLasts);
+  schedule.run(calmMs);
   return schedule;
 }
 
-function playAll(this: World, count: number): void {
+function runSchedules(this: World, count: number): void {
   this.schedules = [];
-  for (let seed = 1; seed <= count; seed += 1) this.schedules.push(played(seed));
+  for (let seed = 1; seed <= count; seed += 1) this.schedules.push(runSchedule(seed));
 }
 When(
   "{int} random schedules of entries, lost messages and restarts are played with a chain of 2 members and a joiner",
-  playAll,
+  runSchedules,
 );
 
-function heldAll(this: World): void {
-  for (const [index, { wasWhole, broken }] of this.schedules.entries()) {
-    ok(wasWhole, `seed ${index + 1}: the joiner never counted as whole`);
-    equal(broken.length, 0, `seed ${index + 1}: ${broken[0]}`);
+function checkLearnerComplete(this: World): void {
+  for (const [index, { wasComplete, violations }] of this.schedules.entries()) {
+    ok(wasComplete, `seed ${index + 1}: the joiner never counted as whole`);
+    equal(violations.length, 0, `seed ${index + 1}: ${violations[0]}`);
   }
 }
 Then(
   "in each the joiner came to count as whole, and at every moment since then it held all that was confirmed on its disk",
-  heldAll,
+  checkLearnerComplete,
 );
 
-function allConfirmed(this: World): void {
+function checkAllCommitted(this: World): void {
   for (const [index, { confirmed, chains }] of this.schedules.entries())
     equal(confirmed, chains.get(head.address)!.place, `seed ${index + 1}`);
 }
-Then("in each everything entered was confirmed in the end", allConfirmed);
+Then("in each everything entered was confirmed in the end", checkAllCommitted);
 
-function wholeJoiner(this: World): void {
+function givenCompleteLearner(this: World): void {
   const schedule = new Schedule(1);
   schedule.adopt({ mark: 1, members: [head, tail] });
   schedule.run(200);
-  schedule.enter();
+  schedule.append();
   schedule.run(200);
-  schedule.adopt(withJoiner);
+  schedule.adopt(viewWithLearner);
   schedule.run(1_000);
-  ok(schedule.wasWhole);
+  ok(schedule.wasComplete);
   this.schedule = schedule;
 }
-Given("a chain of 2 members whose joiner counts as whole", wholeJoiner);
+Given("a chain of 2 members whose joiner counts as whole", givenCompleteLearner);
 
-function joinerStalls(this: World, count: number, seconds: number): void {
+function stallLearnerDisk(this: World, count: number, seconds: number): void {
   const { schedule } = this;
   schedule.stalled.add(joiner.address);
-  for (let number = 0; number < count; number += 1) schedule.enter();
+  for (let number = 0; number < count; number += 1) schedule.append();
   schedule.run(seconds * 1_000);
 }
-When("the joiner's disk stands still while {int} changes are entered, for {int} s", joinerStalls);
+When(
+  "the joiner's disk stands still while {int} changes are entered, for {int} s",
+  stallLearnerDisk,
+);
 
-function namesJoiner(this: World): void {
+function checkSlowLearner(this: World): void {
   const { schedule } = this;
   equal(schedule.chains.get(tail.address)!.stuck(schedule.now)?.identity, joiner.identity);
   equal(schedule.confirmed, 1);
 }
-Then("the tail names the joiner as stuck, and no change is confirmed", namesJoiner);
+Then("the tail names the joiner as stuck, and no change is confirmed", checkSlowLearner);
 
-function leftOut(this: World): void {
-  this.schedule.wasWhole = false;
+function removeLearner(this: World): void {
+  this.schedule.wasComplete = false;
   this.schedule.adopt({ mark: 3, members: [head, tail] });
   this.schedule.run(500);
 }
-When("the next view leaves the joiner out", leftOut);
+When("the next view leaves the joiner out", removeLearner);
 
-function changesConfirmed(this: World, count: number): void {
+function checkCommittedCount(this: World, count: number): void {
   equal(this.schedule.confirmed, count + 1);
 }
-Then("all {int} changes are confirmed", changesConfirmed);
+Then("all {int} changes are confirmed", checkCommittedCount);
