--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -88,8 +88,8 @@
     cuts: [
       {
         file: chain,
-        from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
-        to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
+        from: "commands.push(...this.#propagate(now));\n        if (isSameMember(this.#view.joiner, this.#self)) {",
+        to: "if (this.position === 0) commands.push(...this.#commit(this.#durableIndex, now)); commands.push(...this.#propagate(now)); if (isSameMember(this.#view.joiner, this.#self)) {",
       },
     ],
   },
@@ -138,7 +138,7 @@
   "a follower only goes on": {
     section: "§4.1, §7.1",
     cuts: [
-      { file: feed, from: "if (message.place <= this.#place)", to: "if (false)" },
+      { file: feed, from: "if (message.place <= this.#feedIndex)", to: "if (false)" },
       { file: session, from: "grant.place <= feedIndex", to: "true" },
     ],
   },
@@ -147,8 +147,8 @@
     cuts: [
       {
         file: chain,
-        from: "commands.push(...this.#pass(now));\n        if (isSame(this.#view.joiner, this.#self)) {",
-        to: "if (this.position === 0) commands.push(...this.#confirm(this.#synced, now)); commands.push(...this.#pass(now)); if (isSame(this.#view.joiner, this.#self)) {",
+        from: "commands.push(...this.#propagate(now));\n        if (isSameMember(this.#view.joiner, this.#self)) {",
+        to: "if (this.position === 0) commands.push(...this.#commit(this.#durableIndex, now)); commands.push(...this.#propagate(now)); if (isSameMember(this.#view.joiner, this.#self)) {",
       },
       {
         file: control,
