--- a/packages/data/src/control-calls.ts
+++ b/packages/data/src/control-calls.ts
@@ -4,30 +4,32 @@
 import type { AccessOutput } from "./access-output.js";
 import type { Membership } from "./membership.js";
 
-/** Takes the result of a call. */
+/** Handles the result of a request. */
 export type ControlResultHandler = (outcome: ControlOutcome) => AccessOutput[];
 
+/** A request without a result. */
 interface PendingControlCall {
   readonly command: ControlCommand;
   readonly since: number;
   readonly onResult: ControlResultHandler;
   sentAt: number;
-  /** The head that it went to; undefined where none was known, or the one asked did not run it. */
+  /** The head that it was sent to; undefined if none was known, or if that head did not execute it. */
   sentTo: string | undefined;
 }
 
-/** Sends each request again until it has a result or its patience is over. */
+/** Sends each request again until it has a result or times out. */
 export class ControlCalls {
   #membership: Membership;
   #nextTicket: () => string;
   #calls = new Map<string, PendingControlCall>();
 
-  /** nextTicket: a ticket that this node never uses twice. */
+  /** `nextTicket` returns a ticket that this node has never used. */
   constructor(membership: Membership, nextTicket: () => string) {
     this.#membership = membership;
     this.#nextTicket = nextTicket;
   }
 
+  /** Sends a request to the head; `onResult` is called once. */
   ask(command: ControlCommand, onResult: ControlResultHandler, now: number): AccessOutput[] {
     const ticket = this.#nextTicket();
     const call: PendingControlCall = {
@@ -41,6 +43,7 @@
     return this.#send(ticket, call, now);
   }
 
+  /** Handles an outcome; a request that was not executed is sent again. */
   ended(ticket: string, outcome: ControlOutcome, now: number): AccessOutput[] {
     const call = this.#calls.get(ticket);
     if (call === undefined) return [];
@@ -53,19 +56,20 @@
     return call.onResult(outcome);
   }
 
+  /** Repeats requests that are due, and ends those that timed out with an unknown outcome. */
   beat(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [ticket, call] of [...this.#calls]) {
       if (now - call.since >= constants.confirmPatience) {
         this.#calls.delete(ticket);
         outputs.push(...call.onResult({ kind: "unknown" }));
-      } else if (this.#isDueAgain(call, now))
+      } else if (this.#isRetryDue(call, now))
         outputs.push(...this.#membership.spread(), ...this.#send(ticket, call, now));
     }
     return outputs;
   }
 
-  #isDueAgain(call: PendingControlCall, now: number): boolean {
+  #isRetryDue(call: PendingControlCall, now: number): boolean {
     const isWithCurrentHead = call.sentTo !== undefined && call.sentTo === this.#membership.head;
     return now - call.sentAt >= (isWithCurrentHead ? constants.grantLasts : constants.ownerRetry);
   }
--- a/packages/data/src/feed-progress.ts
+++ b/packages/data/src/feed-progress.ts
@@ -1,29 +1,29 @@
-/** Invariant of a node: while control is heard, the feed brings each change within a bound (docs/design.md §4.1). */
+/** Invariant of a node: while control answers its heartbeats, the feed delivers each change within a bound (docs/design.md §4.1). */
 import { constants } from "@chutewick/parts";
 
-/** A place of the feed that control told of and that this node has not reached. */
-interface AwaitedPlace {
-  readonly place: number;
-  /** ms, monotonic. Since when it is awaited, with control heard all the time. */
+/** A feed index that control reported and that this node has not reached. */
+interface AwaitedIndex {
+  readonly feedIndex: number;
+  /** Since when it is awaited, without a gap in the contact with control; in ms, monotonic. */
   readonly since: number;
 }
 
-/** Counts how often a node that heard control all the time stayed behind the place that control told. */
+/** Counts how often a node stayed behind the feed index that control reported, though it was in contact all the time. */
 export class FeedProgress {
-  #awaited: AwaitedPlace | undefined;
-  #heardAt = Number.NEGATIVE_INFINITY;
-  /** Violations since the start. */
+  #awaited: AwaitedIndex | undefined;
+  #lastHeartbeatAt = Number.NEGATIVE_INFINITY;
+  /** Violations since the process started. */
   violations = 0;
 
-  /** A control machine was heard that stands at `place`, while this node stands at `reached`; `now` in ms, monotonic. */
-  heard(place: number, reached: number, now: number): void {
-    const wasAway = now - this.#heardAt > constants.nearLasts;
-    this.#heardAt = now;
-    if (wasAway || (this.#awaited !== undefined && reached >= this.#awaited.place))
+  /** Records a message of a control machine at index `controlIndex` while this node is at `ownIndex`; `now` in ms, monotonic. */
+  heard(controlIndex: number, ownIndex: number, now: number): void {
+    const hadLostContact = now - this.#lastHeartbeatAt > constants.nearLasts;
+    this.#lastHeartbeatAt = now;
+    if (hadLostContact || (this.#awaited !== undefined && ownIndex >= this.#awaited.feedIndex))
       this.#awaited = undefined;
-    if (reached < place) this.#awaited ??= { place, since: now };
+    if (ownIndex < controlIndex) this.#awaited ??= { feedIndex: controlIndex, since: now };
     if (this.#awaited === undefined || now - this.#awaited.since <= constants.feedLagMost) return;
     this.violations += 1;
-    this.#awaited = { place, since: now };
+    this.#awaited = { feedIndex: controlIndex, since: now };
   }
 }
--- a/packages/data/src/index.ts
+++ b/packages/data/src/index.ts
@@ -1,3 +1,4 @@
+/** Public exports of the data plane: nodes that serve callers (access) and storage machines. */
 export * from "./access-core.js";
 export * from "./access-output.js";
 export * from "./error-reply.js";
--- a/packages/data/src/link.ts
+++ b/packages/data/src/link.ts
@@ -1,37 +1,41 @@
+/** Connections to runners for attempts of routes. */
 import { connect as connectSocket, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { Client, type Dispatcher } from "undici";
 import type { GoEvent, Work } from "./access-output.js";
 
-/** Links to runners: one fresh connection per go, never used twice, so no caller can get another's bytes (docs/design.md §6.2). */
+/** Opens a new connection for each attempt and never reuses it, so that no caller can get the bytes of another (docs/design.md §6.2). */
 export class Links {
-  #open = new Map<number, Client>();
-  #mayStart: (go: number) => string | undefined;
-  #told: (go: number, event: GoEvent) => void;
+  #clients = new Map<number, Client>();
+  /** The reason why an attempt must not start any more; undefined if it may. */
+  #mayStart: (attempt: number) => string | undefined;
+  #onEvent: (attempt: number, event: GoEvent) => void;
 
   constructor(
-    mayStart: (go: number) => string | undefined,
-    told: (go: number, event: GoEvent) => void,
+    mayStart: (attempt: number) => string | undefined,
+    onEvent: (attempt: number, event: GoEvent) => void,
   ) {
     this.#mayStart = mayStart;
-    this.#told = told;
+    this.#onEvent = onEvent;
   }
 
-  abandon(go: number): void {
-    const line = this.#open.get(go);
-    this.#open.delete(go);
-    if (line !== undefined) void line.destroy();
+  /** Closes the connection of an attempt; it reports no more events. */
+  abandon(attempt: number): void {
+    const client = this.#clients.get(attempt);
+    this.#clients.delete(attempt);
+    if (client !== undefined) void client.destroy();
   }
 
-  run(go: number, url: string, work: Work, silence: number): void {
-    void this.#run(go, url, work, silence);
+  /** Starts an attempt; the runner may be silent for at most `silenceMs` at a time. */
+  run(attempt: number, url: string, work: Work, silenceMs: number): void {
+    void this.#run(attempt, url, work, silenceMs);
   }
 
-  async #run(go: number, url: string, work: Work, silence: number): Promise<void> {
+  async #run(attempt: number, url: string, work: Work, silenceMs: number): Promise<void> {
     const self = this;
     let sent = false;
-    let unsent = "";
-    /** The last look before the first byte: connecting may have taken long, and this process may have slept. */
+    let connectError = "";
+    // Checks again before the first byte is sent: connecting may have taken long, or this process may have been suspended.
     function connector(
       options: { hostname: string; port: string },
       callback: (error: Error | null, socket: Socket | null) => void,
@@ -45,9 +49,9 @@
       function settle(error: Error | null): void {
         if (settled) return;
         settled = true;
-        clearTimeout(patience);
+        clearTimeout(connectTimeout);
         if (error !== null) {
-          unsent = error.message;
+          connectError = error.message;
           socket.destroy();
           callback(error, null);
           return;
@@ -55,14 +59,14 @@
         sent = true;
         callback(null, socket);
       }
-      function late(): void {
+      function onTimeout(): void {
         settle(new Error("the runner cannot be reached in time"));
       }
-      function failed(error: Error): void {
+      function onError(error: Error): void {
         settle(error);
       }
-      function connected(): void {
-        const reason = self.#mayStart(go);
+      function onConnect(): void {
+        const reason = self.#mayStart(attempt);
         settle(
           sent
             ? new Error("a connection is used once")
@@ -71,36 +75,37 @@
               : new Error(reason),
         );
       }
-      const patience = setTimeout(late, constants.connectPatience);
-      socket.once("error", failed);
-      socket.once("connect", connected);
+      const connectTimeout = setTimeout(onTimeout, constants.connectPatience);
+      socket.once("error", onError);
+      socket.once("connect", onConnect);
     }
-    const line = new Client(url, {
+    const client = new Client(url, {
       connect: connector as never,
       pipelining: 1,
-      headersTimeout: silence,
-      bodyTimeout: silence,
+      headersTimeout: silenceMs,
+      bodyTimeout: silenceMs,
       maxResponseSize: work.kind === "stream" ? -1 : constants.resultMost,
     });
-    this.#open.set(go, line);
-    function tell(event: GoEvent): void {
-      if (self.#open.get(go) === line) self.#told(go, event);
+    this.#clients.set(attempt, client);
+    function emit(event: GoEvent): void {
+      if (self.#clients.get(attempt) === client) self.#onEvent(attempt, event);
     }
     try {
-      await this.#exchange(line, work, tell);
+      await this.#exchange(client, work, emit);
     } catch (error) {
       const reason = (error as Error).message;
-      tell(
+      emit(
         sent
           ? { kind: "broken", reason: `the link to the runner broke: ${reason}` }
-          : { kind: "unsent", reason: unsent === "" ? reason : unsent },
+          : { kind: "unsent", reason: connectError === "" ? reason : connectError },
       );
     }
-    if (this.#open.get(go) === line) this.#open.delete(go);
-    void line.destroy();
+    if (this.#clients.get(attempt) === client) this.#clients.delete(attempt);
+    void client.destroy();
   }
 
-  async #exchange(line: Client, work: Work, tell: (event: GoEvent) => void): Promise<void> {
+  /** Sends the request of an attempt and emits what the runner answers. */
+  async #exchange(client: Client, work: Work, emit: (event: GoEvent) => void): Promise<void> {
     const options: Dispatcher.RequestOptions =
       work.kind === "fetch"
         ? {
@@ -116,20 +121,20 @@
             body: JSON.stringify(work.body),
             reset: true,
           };
-    const response = await line.request(options);
+    const response = await client.request(options);
     const status = response.statusCode;
     if ((status === 429 || status === 503) && response.headers["chutewick-taken"] === "no") {
       await response.body.dump();
       const wait = Number(response.headers["retry-after"]);
-      return tell({
+      return emit({
         kind: "refused",
         retryAfter: wait > 0 && Number.isFinite(wait) ? wait : constants.retryAfter,
       });
     }
     if (work.kind === "fetch") {
       const bytes = await response.body.bytes();
-      if (status >= 500) return tell({ kind: "troubled", reason: `the runner answered ${status}` });
-      return tell({
+      if (status >= 500) return emit({ kind: "troubled", reason: `the runner answered ${status}` });
+      return emit({
         kind: "bytes",
         status,
         type: String(response.headers["content-type"] ?? "application/octet-stream"),
@@ -138,11 +143,11 @@
     }
     if (status !== 200) {
       const text = (await response.body.text()).slice(0, 200);
-      return tell({ kind: "troubled", reason: `the runner answered ${status}: ${text}` });
+      return emit({ kind: "troubled", reason: `the runner answered ${status}: ${text}` });
     }
     if (response.headers["chutewick-inquiry"] !== work.request) {
-      void line.destroy();
-      return tell({ kind: "broken", reason: "the runner answered for another inquiry" });
+      void client.destroy();
+      return emit({ kind: "broken", reason: "the runner answered for another inquiry" });
     }
     if (work.kind === "one-shot") {
       const value = JSON.parse(await response.body.text()) as {
@@ -150,32 +155,34 @@
         result?: unknown;
       };
       if (value.inquiry !== work.request || value.result === undefined)
-        return tell({
+        return emit({
           kind: "broken",
           reason: "the runner answered for another inquiry, or without a result",
         });
-      return tell({ kind: "whole", value: value.result });
+      return emit({ kind: "whole", value: value.result });
     }
-    tell({ kind: "opened" });
-    const reader = new EventReader();
+    emit({ kind: "opened" });
+    const parser = new EventStreamParser();
     for await (const chunk of response.body) {
-      for (const event of reader.take(chunk as Buffer)) {
-        const told = interpret(event);
-        tell(told);
-        if (told.kind !== "piece") return;
+      for (const event of parser.push(chunk as Buffer)) {
+        const attemptEvent = parseEvent(event);
+        emit(attemptEvent);
+        if (attemptEvent.kind !== "piece") return;
       }
     }
-    tell({ kind: "broken", reason: "the runner's stream ended without its close" });
+    emit({ kind: "broken", reason: "the runner's stream ended without its close" });
   }
 }
 
-interface StreamEvent {
+/** One server-sent event of a runner. */
+interface ServerSentEvent {
   readonly name: string;
   readonly id: string;
   readonly data: string;
 }
 
-function interpret(event: StreamEvent): GoEvent {
+/** The event of an attempt that a server-sent event of a runner stands for. */
+function parseEvent(event: ServerSentEvent): GoEvent {
   try {
     const data = JSON.parse(event.data) as { pieces?: number; reason?: string };
     if (event.name === "close") return { kind: "closed", pieces: Number(data.pieces) };
@@ -189,25 +196,25 @@
   return { kind: "broken", reason: "the runner's stream holds an event that is not known" };
 }
 
-/** Server-sent events, as far as the published format for runners uses them (docs/interface.md). */
-class EventReader {
-  #held = "";
+/** Parses server-sent events, as far as the published format for runners uses them (docs/interface.md). */
+class EventStreamParser {
+  #buffer = "";
   #decoder = new TextDecoder();
 
-  *take(chunk: Uint8Array): Generator<StreamEvent> {
-    this.#held += this.#decoder.decode(chunk, { stream: true });
+  *push(chunk: Uint8Array): Generator<ServerSentEvent> {
+    this.#buffer += this.#decoder.decode(chunk, { stream: true });
     for (;;) {
-      const end = this.#held.indexOf("\n\n");
+      const end = this.#buffer.indexOf("\n\n");
       if (end < 0) return;
-      const block = this.#held.slice(0, end);
-      this.#held = this.#held.slice(end + 2);
+      const block = this.#buffer.slice(0, end);
+      this.#buffer = this.#buffer.slice(end + 2);
       let name = "message";
       let id = "";
       let data = "";
-      for (const row of block.split("\n")) {
-        if (row.startsWith("event: ")) name = row.slice(7);
-        else if (row.startsWith("id: ")) id = row.slice(4);
-        else if (row.startsWith("data: ")) data += row.slice(6);
+      for (const line of block.split("\n")) {
+        if (line.startsWith("event: ")) name = line.slice(7);
+        else if (line.startsWith("id: ")) id = line.slice(4);
+        else if (line.startsWith("data: ")) data += line.slice(6);
       }
       if (data !== "") yield { name, id, data };
     }
--- a/packages/data/src/lot-names.ts
+++ b/packages/data/src/lot-names.ts
@@ -1,17 +1,18 @@
-/** Names of lots: each holds the name of its queue, so that the lot's owner can be found by it. */
+/** Names of lots (batch jobs). A name contains the name of the queue, so that the owner of the lot can be found by it. */
 import { createHash } from "node:crypto";
 
+/** Between the name of the queue and the digest. */
 const SEPARATOR = "~";
-const DIGEST_CHARACTERS = 22;
+const DIGEST_LENGTH = 22;
 
-/** Made of the caller's key, so that a lot can be looked up even when no answer was heard. */
+/** The name is derived from the caller's key, so that a caller who got no reply can still look the lot up. */
 export function lotName(queue: string, routeName: string, key: string): string {
   const digest = createHash("sha256").update(`${routeName}\u0000${key}`).digest("base64url");
-  return `${queue}${SEPARATOR}${digest.slice(0, DIGEST_CHARACTERS)}`;
+  return `${queue}${SEPARATOR}${digest.slice(0, DIGEST_LENGTH)}`;
 }
 
-/** The queue that a lot's name tells; undefined where it is no name of a lot. */
+/** The queue in the name of a lot; undefined if the text is not the name of a lot. */
 export function queueOfLot(lot: string): string | undefined {
-  const end = lot.indexOf(SEPARATOR);
-  return end <= 0 ? undefined : lot.slice(0, end);
+  const separatorIndex = lot.indexOf(SEPARATOR);
+  return separatorIndex <= 0 ? undefined : lot.slice(0, separatorIndex);
 }
--- a/packages/data/src/membership-log.ts
+++ b/packages/data/src/membership-log.ts
@@ -1,42 +1,42 @@
-/** What a node logs of its standing with control, so that a wrong answer can be traced to what the node knew (docs/design.md §7). */
+/** Log lines on the membership state of a node, so that a wrong answer can be traced to what the node knew (docs/design.md §7). */
 import type { Membership, MembershipReport, WorkGround } from "./membership.js";
 
-/** Log lines on definite refusals in a second; more say nothing new. */
-const REFUSALS_LOGGED = 3;
-const SECOND = 1_000;
-/** Answers that say that something is not there or not allowed, by what the configuration says. */
-const DEFINITE = new Set([401, 403, 404]);
+/** Log lines on definite rejections per second; more of them add no information. */
+const MAX_REJECTIONS_LOGGED = 3;
+const SECOND_MS = 1_000;
+/** HTTP statuses by which a caller is rejected definitely, on the grounds of the configuration. */
+const DEFINITE_STATUSES = new Set([401, 403, 404]);
 
-/** Decides what is worth a line: each change of the version or of the ground, and a few definite refusals. */
+/** Decides what is logged: each change of the configuration version or of the authorization for work, and a few definite rejections. */
 export class MembershipLog {
   readonly #membership: Membership;
-  #version: number | undefined;
-  #ground: WorkGround | undefined;
-  #secondBegan = Number.NEGATIVE_INFINITY;
-  #refusals = 0;
+  #loggedVersion: number | undefined;
+  #loggedGround: WorkGround | undefined;
+  #secondStartedAt = Number.NEGATIVE_INFINITY;
+  #rejectionCount = 0;
 
   constructor(membership: Membership) {
     this.#membership = membership;
   }
 
-  /** The standing, where the version or the ground is another one than at the last call. */
+  /** The membership state, if the version or the authorization changed since the last call. */
   changed(now: number): MembershipReport | undefined {
     const version = this.#membership.configuration.mark;
     const ground = this.#membership.ground(now);
-    if (version === this.#version && ground === this.#ground) return undefined;
-    this.#version = version;
-    this.#ground = ground;
+    if (version === this.#loggedVersion && ground === this.#loggedGround) return undefined;
+    this.#loggedVersion = version;
+    this.#loggedGround = ground;
     return this.#membership.report(now);
   }
 
-  /** The standing by which a caller is refused; undefined where the status is no definite one, or enough were logged. */
+  /** The membership state on which a rejection is based; undefined if the status is not a definite one, or enough were logged. */
   refused(status: number, now: number): MembershipReport | undefined {
-    if (!DEFINITE.has(status)) return undefined;
-    if (now - this.#secondBegan >= SECOND) {
-      this.#secondBegan = now;
-      this.#refusals = 0;
+    if (!DEFINITE_STATUSES.has(status)) return undefined;
+    if (now - this.#secondStartedAt >= SECOND_MS) {
+      this.#secondStartedAt = now;
+      this.#rejectionCount = 0;
     }
-    this.#refusals += 1;
-    return this.#refusals > REFUSALS_LOGGED ? undefined : this.#membership.report(now);
+    this.#rejectionCount += 1;
+    return this.#rejectionCount > MAX_REJECTIONS_LOGGED ? undefined : this.#membership.report(now);
   }
 }
--- a/packages/data/src/membership.ts
+++ b/packages/data/src/membership.ts
@@ -1,3 +1,4 @@
+/** Membership of data plane nodes: session with the control group, feed and lease (docs/design.md §4, §7). */
 import {
   Follower,
   Lease,
@@ -29,7 +30,7 @@
 import { heartbeatInterval } from "./heartbeat-interval.js";
 import { RecentAsks } from "./recent-asks.js";
 
-/** How a node of the data plane stands with the control group: session, feed, lease (docs/design.md §4, §7). */
+/** Identity and addresses of a node of the data plane. */
 export interface Standing {
   readonly identity: string;
   readonly address: string;
@@ -40,115 +41,131 @@
   readonly http: string;
 }
 
+/** A message to be sent to an address. */
 export interface Send {
   readonly kind: "send";
   readonly to: string;
   readonly message: ControlMessage;
 }
 
-/** By what a node takes new work and gives definite answers. */
+/** What entitles a node to accept new work and to give definite answers: its lease, a permit of its peers, or nothing. */
 export type WorkGround = "lease" | "permit" | "none";
 
-/** How a node stands with control at a moment. */
+/** Membership state of a node at one moment, for the log. */
 export interface MembershipReport {
-  /** Of the configuration that it goes by. */
+  /** Version of the configuration that the node applies. */
   readonly version: number;
-  /** In the feed. */
+  /** Feed index: the last entry of the feed that the node has applied. */
   readonly place: number;
+  /** What entitles the node to accept new work. */
   readonly ground: WorkGround;
-  /** Mark of the newest view that it knows. */
+  /** Epoch of the newest view of the control group that the node knows. */
   readonly view: number | undefined;
-  /** Control machines whose leases count. */
+  /** Control machines whose leases are valid. */
   readonly granters: readonly string[];
-  /** ms since the heartbeat was sent that each control machine answered last. */
+  /** ms since the sending of the last heartbeat that each control machine answered. */
   readonly heardBefore: Readonly<Record<string, number>>;
 }
 
+/**
+ * Membership of a data plane node in the fleet: its session with the control group, the feed, its lease, and the permits that peers give
+ * each other while control is unreachable.
+ */
 export class Membership {
   readonly follower = new Follower();
   readonly feedProgress = new FeedProgress();
   #lease = new Lease();
-  #standing: Standing;
+  #node: Standing;
   #controls: Set<string>;
   #seeds: readonly string[];
   #registry: RunnerRegistry = { nodes: [], runners: [] };
-  #registryAt = Number.NEGATIVE_INFINITY;
-  #saidHere = new Map<string, number>();
-  /** ms. When the last heartbeat was sent that a control machine answered, by its identity. */
-  #heardAt = new Map<string, number>();
-  /** Heartbeats to control, and questions to other nodes. */
-  readonly #heartbeats = new RecentAsks();
-  readonly #peerAsks = new RecentAsks();
-  /** Runners that peers told of. */
-  #told = new Map<string, { card: RunnerCard; heardAt: number }>();
-  #askedAt = Number.NEGATIVE_INFINITY;
-  #promises = new Set<string>();
+  #registryRequestedAt = Number.NEGATIVE_INFINITY;
+  /** Highest incarnation of each runner whose deregistration came to this node or from a peer. */
+  #closedHere = new Map<string, number>();
+  /** When the last heartbeat was sent that a control machine answered, by its identity; in ms, monotonic. */
+  #answeredAt = new Map<string, number>();
+  /** Heartbeats sent to control. */
+  readonly #sentHeartbeats = new RecentAsks();
+  /** Requests for permits sent to peers. */
+  readonly #sentPermitRequests = new RecentAsks();
+  /** Newest report of each runner that did not come with the registry of control. */
+  #reportedRunners = new Map<string, { card: RunnerCard; heardAt: number }>();
+  #permitRequestedAt = Number.NEGATIVE_INFINITY;
+  #promisingPeers = new Set<string>();
   #permitUntil = Number.NEGATIVE_INFINITY;
-  /** A lease was held in this life: only from then on does this node know all that was confirmed before (§7.4). */
-  #heldLease = false;
-  /** A life before this one may have promised. */
+  /** Whether a lease was held in this incarnation. Only from then on does the node know all earlier committed changes (docs/design.md §7.4). */
+  #hasHeldLease = false;
+  /**
+   * Until when a promise to a peer binds this node: it accepts no changes from control and gets no lease. Set at the start, because an
+   * earlier incarnation may have promised.
+   */
   #promisedUntil: number;
-  #leaving = false;
-  #toldAt = Number.NEGATIVE_INFINITY;
-  /** The last stamp of each control machine. */
+  #isLeaving = false;
+  #heartbeatSentAt = Number.NEGATIVE_INFINITY;
+  /** The last clock stamp of each control machine, and when it came. */
   #stamps = new Map<string, { stamp: Stamp; at: number }>();
-  #telling: () => Telling;
+  #createReport: () => Telling;
   #policy: Policy;
 
   constructor(
-    standing: Standing,
+    node: Standing,
     seeds: readonly string[],
     now: number,
-    telling: () => Telling,
-    chosen: Policy = policy.usual,
+    createReport: () => Telling,
+    deploymentPolicy: Policy = policy.usual,
   ) {
-    this.#policy = chosen;
-    this.#promisedUntil = chosen.goesOnAlone
+    this.#policy = deploymentPolicy;
+    this.#promisedUntil = deploymentPolicy.goesOnAlone
       ? Number.NEGATIVE_INFINITY
       : now + constants.permitLasts;
-    this.#standing = standing;
+    this.#node = node;
     this.#seeds = seeds;
     this.#controls = new Set(seeds);
-    this.#telling = telling;
+    this.#createReport = createReport;
   }
 
+  /** Identity of this node. */
   get identity(): string {
-    return this.#standing.identity;
+    return this.#node.identity;
   }
+  /** Address under which other processes reach this node. */
   get address(): string {
-    return this.#standing.address;
+    return this.#node.address;
   }
+  /** Zone of this node. */
   get zone(): string {
-    return this.#standing.zone;
+    return this.#node.zone;
   }
-  /** ms, monotonic. When the last heartbeats were sent. */
+  /** When the last heartbeats were sent; in ms, monotonic. */
   get toldAt(): number {
-    return this.#toldAt;
+    return this.#heartbeatSentAt;
   }
+  /** The newest registry of nodes and runners from control. */
   get registry(): RunnerRegistry {
     return this.#registry;
   }
+  /** The configuration from the feed, with its version. */
   get configuration(): MarkedConfiguration {
     return configurationIn(this.follower);
   }
-  /** Where changes to control state are entered. */
+  /** Address of the head of the control group, which accepts changes; undefined while no view is known. */
   get head(): string | undefined {
     return this.#lease.view?.members[0]?.address;
   }
 
-  /** From now on this node hands over what it does. */
+  /** Announces that this node is leaving, so that control transfers its work to other nodes. */
   leave(now: number): Send[] {
-    this.#leaving = true;
+    this.#isLeaving = true;
     return this.tell(now);
   }
 
-  /** This node takes up its part again after it had left. */
+  /** Takes back the announcement that this node is leaving. */
   stay(now: number): Send[] {
-    this.#leaving = false;
+    this.#isLeaving = false;
     return this.tell(now);
   }
 
-  /** Whether new work may be taken at this moment. */
+  /** Whether the node may accept new work now: it holds a lease or a permit. */
   holds(now: number): boolean {
     return (
       this.follower.place > 0 &&
@@ -156,11 +173,11 @@
     );
   }
 
-  /** For the log. */
+  /** The membership state for the log. */
   report(now: number): MembershipReport {
     const { place } = this.follower;
     const heardBefore: Record<string, number> = {};
-    for (const [identity, at] of this.#heardAt) heardBefore[identity] = Math.round(now - at);
+    for (const [identity, at] of this.#answeredAt) heardBefore[identity] = Math.round(now - at);
     return {
       version: this.configuration.mark,
       place,
@@ -171,41 +188,46 @@
     };
   }
 
-  /** By what it takes new work now. */
+  /** What entitles the node to accept new work now. */
   ground(now: number): WorkGround {
     if (!this.holds(now)) return "none";
     return this.#lease.holds(now, this.follower.place) ? "lease" : "permit";
   }
 
-  /** Whether live work on passages may begin: also on what is known, where the deployment lets a node go on alone (§13.3). */
+  /**
+   * Whether live work on passages may begin. Where the policy lets an isolated node continue, any known configuration is enough
+   * (docs/design.md §13.3).
+   */
   serves(now: number): boolean {
     return this.configuration.mark > 0 && (this.#policy.goesOnAlone || this.holds(now));
   }
 
+  /** The policy of the deployment. */
   get policy(): Policy {
     return this.#policy;
   }
 
-  /** Whether a majority of the control group was heard lately. */
+  /** Whether a majority of the control group answered recent heartbeats; true while no view is known. */
   isNear(now: number): boolean {
     const view = this.#lease.view;
     if (view === undefined) return true;
-    let heard = 0;
+    let answered = 0;
     const granters = holdersOf(view);
     for (const { identity } of granters)
-      if (now - (this.#heardAt.get(identity) ?? Number.NEGATIVE_INFINITY) <= constants.nearLasts)
-        heard += 1;
-    return heard > granters.length / 2;
+      if (now - (this.#answeredAt.get(identity) ?? Number.NEGATIVE_INFINITY) <= constants.nearLasts)
+        answered += 1;
+    return answered > granters.length / 2;
   }
 
+  /** Addresses of the machines of the fleet. */
   get #peers(): readonly string[] {
     return this.follower.read<FleetRecord>(keys.fleet)?.addresses ?? [];
   }
 
-  /** Asks and promises among nodes while control is away (§7.4). */
+  /** Handles a permit request or a reply from a peer while control is unreachable (docs/design.md §7.4). */
   peer(message: PeerMessage, from: string, now: number): Send[] {
     if (message.kind === "fellow-ask") {
-      const promises = !this.#policy.goesOnAlone && this.#heldLease && !this.isNear(now);
+      const promises = !this.#policy.goesOnAlone && this.#hasHeldLease && !this.isNear(now);
       if (promises) this.#promisedUntil = now + constants.permitLasts;
       return [
         {
@@ -216,45 +238,45 @@
             askedAt: message.askedAt,
             place: this.follower.place,
             promises,
-            runners: this.#telling().runners ?? [],
-            closed: [...this.#saidHere],
+            runners: this.#createReport().runners ?? [],
+            closed: [...this.#closedHere],
           },
         },
       ];
     }
-    /** No older than from the asking: the telling came after it. */
-    if (this.#peerAsks.includes(message.askedAt))
+    // The reply was sent after the request, so its ages count from the request at the latest.
+    if (this.#sentPermitRequests.includes(message.askedAt))
       for (const card of message.runners) this.heardRunner(card, message.askedAt - card.age);
     for (const [runner, incarnation] of message.closed) this.close(runner, incarnation);
-    if (message.askedAt !== this.#askedAt || !message.promises) return [];
-    /** One that knows more shows that a change was confirmed that this node never heard of. */
+    if (message.askedAt !== this.#permitRequestedAt || !message.promises) return [];
+    // A peer with a higher feed index shows that a change was committed that this node has not received.
     if (message.place > this.follower.place) {
-      this.#askedAt = Number.NEGATIVE_INFINITY;
+      this.#permitRequestedAt = Number.NEGATIVE_INFINITY;
       return [];
     }
-    this.#promises.add(from);
+    this.#promisingPeers.add(from);
     if (this.#isPromisedByMajority)
       this.#permitUntil = Math.max(
         this.#permitUntil,
-        this.#askedAt + heldFor(constants.permitLasts),
+        this.#permitRequestedAt + heldFor(constants.permitLasts),
       );
     return [];
   }
 
-  /** By the fleet as it is known now: it may have changed since the asking, and others' promises hold no change up. */
+  /** Counted over the current fleet: it may have changed since the request, and the promises of former members delay no change. */
   get #isPromisedByMajority(): boolean {
     const peers = this.#peers;
-    const promising = peers.filter((address) => this.#promises.has(address));
+    const promising = peers.filter((address) => this.#promisingPeers.has(address));
     return promising.length > peers.length / 2;
   }
 
-  /** A deregistration goes to all nodes at once, before control has confirmed it (§7.5). */
+  /** Sends the deregistrations that came here to all nodes at once, before control has committed them (docs/design.md §7.5). */
   spread(): Send[] {
-    const told = new Set<string>(this.#peers);
-    for (const card of this.live("access")) told.add(card.address);
-    told.delete(this.address);
+    const recipients = new Set<string>(this.#peers);
+    for (const card of this.live("access")) recipients.add(card.address);
+    recipients.delete(this.address);
     const sends: Send[] = [];
-    for (const to of told)
+    for (const to of recipients)
       sends.push({
         kind: "send",
         to,
@@ -264,26 +286,27 @@
           place: this.follower.place,
           promises: false,
           runners: [],
-          closed: [...this.#saidHere],
+          closed: [...this.#closedHere],
         },
       });
     return sends;
   }
 
-  #askPeers(now: number): Send[] {
+  /** Requests promises for a permit from all peers, if control is unreachable. */
+  #requestPermit(now: number): Send[] {
     if (this.#policy.goesOnAlone) return [];
     const peers = this.#peers;
     if (
       this.isNear(now) ||
-      !this.#heldLease ||
+      !this.#hasHeldLease ||
       !peers.includes(this.address) ||
-      now - this.#askedAt < constants.sessionEvery
+      now - this.#permitRequestedAt < constants.sessionEvery
     )
       return [];
-    this.#askedAt = now;
-    this.#peerAsks.asked(now);
+    this.#permitRequestedAt = now;
+    this.#sentPermitRequests.asked(now);
     this.#promisedUntil = now + constants.permitLasts;
-    this.#promises = new Set([this.address]);
+    this.#promisingPeers = new Set([this.address]);
     const sends: Send[] = [];
     for (const to of peers)
       if (to !== this.address)
@@ -295,87 +318,90 @@
     return sends;
   }
 
+  /** Remaining duration of the lease in ms. */
   leaseLeft(now: number): number {
     return Math.max(0, this.#lease.until(this.follower.place) - now);
   }
 
-  /** A deregistration closes this life of the runner and every earlier one, which may stand at the same address (§7.5). */
+  /** Whether an incarnation of a runner is deregistered. A deregistration includes all earlier incarnations, which may have the same address (docs/design.md §7.5). */
   isClosed(runner: string, incarnation: number): boolean {
     return (
       incarnation <=
       Math.max(
         this.follower.read<Deregistration>(keys.goodbyeKey(runner))?.incarnation ?? 0,
-        this.#saidHere.get(runner) ?? 0,
+        this.#closedHere.get(runner) ?? 0,
       )
     );
   }
 
-  /** A deregistration sent here counts here at once. */
+  /** Applies a deregistration on this node at once, before control has committed it. */
   close(runner: string, incarnation: number): void {
-    this.#saidHere.set(runner, Math.max(incarnation, this.#saidHere.get(runner) ?? 0));
+    this.#closedHere.set(runner, Math.max(incarnation, this.#closedHere.get(runner) ?? 0));
   }
 
-  /** A word of a runner that came here not by control. */
+  /** Records a report of a runner that did not come with the registry of control. */
   heardRunner(card: RunnerCard, heardAt: number): void {
-    const held = this.#told.get(card.id);
+    const held = this.#reportedRunners.get(card.id);
     if (held === undefined || isNewerWord(card, heardAt, held.card, held.heardAt))
-      this.#told.set(card.id, { card, heardAt });
+      this.#reportedRunners.set(card.id, { card, heardAt });
   }
 
-  /** Whether a life of a runner was heard of lately and has not deregistered: asked again before the first byte. */
+  /** Whether an incarnation of a runner has a recent report and is not deregistered; checked again before the first byte is sent. */
   isStanding(runner: string, incarnation: number, now: number): boolean {
-    const held = this.#newestWord(runner, now);
+    const held = this.#newestReport(runner, now);
     return (
       held !== undefined &&
       held.incarnation === incarnation &&
-      now - held.heardAt <= this.#runnersLast(now) &&
+      now - held.heardAt <= this.#runnerTimeoutMs(now) &&
       !this.isClosed(runner, incarnation)
     );
   }
 
-  /** The newest word of a runner, from control or from elsewhere; heardAt in ms. */
-  #newestWord(runner: string, now: number): (RunnerCard & { heardAt: number }) | undefined {
+  /** The newest report of a runner, from control or another source; `heardAt` in ms, monotonic. */
+  #newestReport(runner: string, now: number): (RunnerCard & { heardAt: number }) | undefined {
     const card = this.#registry.runners.find(({ id }) => id === runner);
-    const listed = card && { ...card, heardAt: this.#registryAt - card.age };
-    const told = this.#told.get(runner);
-    if (told === undefined || now - told.heardAt > this.#forgetsRunnersAfter) return listed;
-    if (listed !== undefined && !isNewerWord(told.card, told.heardAt, listed, listed.heardAt))
+    const listed = card && { ...card, heardAt: this.#registryRequestedAt - card.age };
+    const report = this.#reportedRunners.get(runner);
+    if (report === undefined || now - report.heardAt > this.#runnerRetentionMs) return listed;
+    if (listed !== undefined && !isNewerWord(report.card, report.heardAt, listed, listed.heardAt))
       return listed;
-    return { ...told.card, heardAt: told.heardAt };
+    return { ...report.card, heardAt: report.heardAt };
   }
 
-  /** ms. A word of a runner that is older than this says nothing any more. */
-  get #forgetsRunnersAfter(): number {
+  /** Age in ms above which a report of a runner is discarded. */
+  get #runnerRetentionMs(): number {
     return this.#policy.runnerLasts * constants.aloneTimes;
   }
 
   /**
-   * ms since its last word for which a runner counts as there. Cut off from control, a node goes on with the runners that it
-   * knew: those gone since are not reached, or say that they are others (§13.4).
+   * Time in ms without a report after which a runner counts as gone. A node that is cut off from control continues with the runners that
+   * it knew: those that went since are unreachable, or answer that they are another incarnation (docs/design.md §13.4).
    */
-  #runnersLast(now: number): number {
-    const isAlone = this.#policy.goesOnAlone && !this.isNear(now);
-    return isAlone ? this.#forgetsRunnersAfter : this.#policy.runnerLasts;
+  #runnerTimeoutMs(now: number): number {
+    const isIsolated = this.#policy.goesOnAlone && !this.isNear(now);
+    return isIsolated ? this.#runnerRetentionMs : this.#policy.runnerLasts;
   }
 
+  /** The runners with a recent report that are not deregistered, each with its newest report. */
   runners(now: number): RunnerCard[] {
     const found: RunnerCard[] = [];
     const known = new Map<string, RunnerCard>();
     for (const card of this.#registry.runners)
-      known.set(card.id, { ...card, age: card.age + now - this.#registryAt });
-    for (const { card, heardAt } of this.#told.values()) {
+      known.set(card.id, { ...card, age: card.age + now - this.#registryRequestedAt });
+    for (const { card, heardAt } of this.#reportedRunners.values()) {
       const held = known.get(card.id);
       const age = now - heardAt;
-      if (age > this.#forgetsRunnersAfter) this.#told.delete(card.id);
+      if (age > this.#runnerRetentionMs) this.#reportedRunners.delete(card.id);
       if (held === undefined || isNewerWord(card, heardAt, held, now - held.age))
         known.set(card.id, { ...card, age });
     }
-    const lasts = this.#runnersLast(now);
+    const timeoutMs = this.#runnerTimeoutMs(now);
     for (const card of known.values())
-      if (card.age <= lasts && !this.isClosed(card.id, card.incarnation)) found.push(card);
+      if (card.age <= timeoutMs && !this.isClosed(card.id, card.incarnation)) found.push(card);
     return found;
   }
 
+  /** The nodes of a kind that are in session and not leaving. */
   live(kind: NodeCard["kind"]): NodeCard[] {
     const found: NodeCard[] = [];
     for (const { card, age } of this.#registry.nodes)
@@ -383,79 +409,81 @@
     return found;
   }
 
-  /** True when the feed brought something new. */
+  /** Handles a message from control; returns true if the feed brought something new. */
   receive(message: ControlMessage, from: string, now: number): boolean {
     if (message.kind === "feed" || message.kind === "feed-digest")
       return this.follower.receive(message);
-    /** Runners that control heard of just now; ages in it count from here, as deregistrations are confirmed before they are told (§13.8). */
+    // New reports of runners. Their ages count from now: control commits a deregistration before it reports it (docs/design.md §13.8).
     if (message.kind === "runners")
       for (const card of message.runners) this.heardRunner(card, now - card.age);
-    /** No sign of nearness: whoever says so does not hear this node. */
+    // This is no evidence of contact: the sender does not receive this node's heartbeats.
     if (message.kind === "controls")
       for (const address of message.addresses) this.#controls.add(address);
     if (message.kind === "lease") this.#receiveLease(message, from, now);
     return false;
   }
 
+  /** Handles an answer of control to a heartbeat: a lease, the registry and the addresses of control. */
   #receiveLease(message: LeaseMessage, from: string, now: number): void {
     this.feedProgress.heard(message.place, this.follower.place, now);
     this.#learnControls(message);
     const { identity, view, place, roll, stamp } = message;
     const answered = message.answers ?? message.askedAt;
-    /** A release that does not say what it answers grants nothing by such a message. */
-    const isUntold = answered === Number.NEGATIVE_INFINITY;
-    /** What answers an earlier life of this process grants this one nothing, and neither does what comes so late. */
-    if (!isUntold && !this.#heartbeats.includes(answered)) return;
-    this.#heard(identity, isUntold ? now : answered);
+    // A control machine of an older release may not say which heartbeat it answers; such a message grants no lease.
+    const isUnspecified = answered === Number.NEGATIVE_INFINITY;
+    // An answer to an earlier incarnation of this process, or one that comes too late, grants nothing.
+    if (!isUnspecified && !this.#sentHeartbeats.includes(answered)) return;
+    this.#recordAnswer(identity, isUnspecified ? now : answered);
     this.#lease.granted(identity, view, message.askedAt, place);
-    this.#heldLease ||= this.#lease.holds(now, this.follower.place);
+    this.#hasHeldLease ||= this.#lease.holds(now, this.follower.place);
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
-    /** Ages in it count from the asking, before which it was not told: this node or the message may have slept. */
-    if (roll.nodes.length === 0 || message.askedAt < this.#registryAt) return;
-    this.#registry = this.#merged(roll, message.askedAt);
-    this.#registryAt = message.askedAt;
+    // Ages in the registry count from the request: it was sent later, but this node or the message may have been delayed since.
+    if (roll.nodes.length === 0 || message.askedAt < this.#registryRequestedAt) return;
+    this.#registry = this.#mergeRegistry(roll, message.askedAt);
+    this.#registryRequestedAt = message.askedAt;
   }
 
-  /** A control machine answered a heartbeat that was sent at a moment. */
-  #heard(identity: string, sentAt: number): void {
-    this.#heardAt.set(
+  /** Records that a control machine answered the heartbeat sent at `sentAt`. */
+  #recordAnswer(identity: string, sentAt: number): void {
+    this.#answeredAt.set(
       identity,
-      Math.max(sentAt, this.#heardAt.get(identity) ?? Number.NEGATIVE_INFINITY),
+      Math.max(sentAt, this.#answeredAt.get(identity) ?? Number.NEGATIVE_INFINITY),
     );
   }
 
+  /** Replaces the known control addresses by those of a lease message and the seeds. */
   #learnControls({ controls, view }: LeaseMessage): void {
     this.#controls = new Set<string>([...this.#seeds, ...controls]);
     for (const member of [...view.members, ...holdersOf(view)]) this.#controls.add(member.address);
   }
 
   /**
-   * A newer registry with the runners of the one held that it lacks, or of which it has an older word: a
-   * control machine that has just started, or was cut off, does not know them all. They stay until
-   * their last word is too old.
+   * A newer registry, completed by runners of the current one that it lacks or has an older report of: a control machine that has just
+   * started, or was cut off, does not know all of them. They are kept until their last report is too old.
    */
-  #merged(registry: RunnerRegistry, at: number): RunnerRegistry {
+  #mergeRegistry(registry: RunnerRegistry, askedAt: number): RunnerRegistry {
     const runners = new Map<string, RunnerCard>();
     for (const card of registry.runners) runners.set(card.id, card);
     for (const card of this.#registry.runners) {
-      const aged = { ...card, age: card.age + at - this.#registryAt };
-      if (aged.age > this.#forgetsRunnersAfter) continue;
+      const aged = { ...card, age: card.age + askedAt - this.#registryRequestedAt };
+      if (aged.age > this.#runnerRetentionMs) continue;
       const newer = runners.get(card.id);
-      if (newer === undefined || isNewerWord(aged, at - aged.age, newer, at - newer.age))
+      if (newer === undefined || isNewerWord(aged, askedAt - aged.age, newer, askedAt - newer.age))
         runners.set(card.id, aged);
     }
     return { ...registry, runners: [...runners.values()] };
   }
 
+  /** Sends a heartbeat with the state of this node to each known control machine. */
   tell(now: number): Send[] {
-    this.#toldAt = now;
-    this.#heartbeats.asked(now);
+    this.#heartbeatSentAt = now;
+    this.#sentHeartbeats.asked(now);
     const card: NodeCard = {
-      ...this.#standing,
+      ...this.#node,
       place: this.follower.place,
       free: now >= this.#promisedUntil,
-      leaving: this.#leaving,
-      telling: this.#telling(),
+      leaving: this.#isLeaving,
+      telling: this.#createReport(),
     };
     const sends: Send[] = [];
     for (const to of this.#controls)
@@ -467,18 +495,20 @@
           card,
           askedAt: now,
           back: giveBack(this.#stamps.get(to), now),
-          ...(this.#registry.nodes.length > 0 ? { rolled: now - this.#registryAt } : {}),
+          ...(this.#registry.nodes.length > 0 ? { rolled: now - this.#registryRequestedAt } : {}),
         },
       });
     return sends;
   }
 
+  /** Sends what is due: heartbeats to control and permit requests to peers. */
   beat(now: number): Send[] {
-    const asks = this.#askPeers(now);
-    /** The moment a promise ends, control is told so. */
-    const freed = this.#toldAt < this.#promisedUntil && now >= this.#promisedUntil;
-    return now - this.#toldAt >= heartbeatInterval(this.#registry.nodes.length) || freed
-      ? [...asks, ...this.tell(now)]
-      : asks;
+    const permitRequests = this.#requestPermit(now);
+    // Control is informed as soon as a promise has ended.
+    const promiseEnded = this.#heartbeatSentAt < this.#promisedUntil && now >= this.#promisedUntil;
+    return now - this.#heartbeatSentAt >= heartbeatInterval(this.#registry.nodes.length) ||
+      promiseEnded
+      ? [...permitRequests, ...this.tell(now)]
+      : permitRequests;
   }
 }
--- a/packages/data/src/planned-stop.ts
+++ b/packages/data/src/planned-stop.ts
@@ -1,58 +1,67 @@
+/** Timing of a planned stop. */
 import { constants } from "@chutewick/parts";
 
 /**
- * Phases of a planned stop of a node that answers callers, without I/O (docs/design.md §8.6):
- * - `taking`: callers do not know yet that it is not ready, and are served;
- * - `refusing`: new requests are refused at once, those taken before go on;
- * - `last-answers`: time is up, so those under way get their last answers;
- * - `closed`: nothing is under way, or the process would be killed soon.
+ * Phases of a planned stop of a node that serves callers, without I/O (docs/design.md §8.6):
+ * - `taking`: callers do not know yet that the node is not ready, so new requests are still accepted;
+ * - `refusing`: new requests are rejected at once, and those accepted earlier continue;
+ * - `last-answers`: the time is up, so requests in progress get their last replies;
+ * - `closed`: no request is in progress, or the process is about to be killed.
  */
 export type StopPhase = "taking" | "refusing" | "last-answers" | "closed";
 
 /** Bounds of the phases, in ms after the stop began. */
 export interface StopTimes {
-  readonly takesFor: number;
-  /** Until when it does not close, though nothing is under way. */
-  readonly staysFor: number;
-  readonly answersFor: number;
-  readonly closesWithin: number;
+  /** How long new requests are accepted. */
+  readonly acceptsForMs: number;
+  /** The node does not close earlier, even if no request is in progress. */
+  readonly staysOpenForMs: number;
+  /** How long requests in progress may run before they get their last replies. */
+  readonly answersForMs: number;
+  /** When the node closes, whatever is in progress. */
+  readonly closesWithinMs: number;
 }
 
-/** stopWithin in ms; `hasCallersElsewhere`: others send callers here, and learn only later that this node is not ready. */
-export function stopTimes(stopWithin: number, hasCallersElsewhere: boolean): StopTimes {
-  const answersFor = stopWithin - constants.lastAnswersBefore;
-  const closesWithin = stopWithin - constants.closeBefore;
-  if (!hasCallersElsewhere) return { takesFor: 0, staysFor: 0, answersFor, closesWithin };
-  const takesFor = Math.min(constants.unreadyLasts, stopWithin * constants.stopTakesPart);
-  const staysFor = Math.min(takesFor + constants.refusesLeast, answersFor);
-  return { takesFor, staysFor, answersFor, closesWithin };
+/**
+ * Bounds of the phases of a stop that may take `stopWithinMs`.
+ * With `hasExternalRouter`, other systems route callers to this node and learn only later that it is not ready.
+ */
+export function stopTimes(stopWithinMs: number, hasExternalRouter: boolean): StopTimes {
+  const answersForMs = stopWithinMs - constants.lastAnswersBefore;
+  const closesWithinMs = stopWithinMs - constants.closeBefore;
+  if (!hasExternalRouter)
+    return { acceptsForMs: 0, staysOpenForMs: 0, answersForMs, closesWithinMs };
+  const acceptsForMs = Math.min(constants.unreadyLasts, stopWithinMs * constants.stopTakesPart);
+  const staysOpenForMs = Math.min(acceptsForMs + constants.refusesLeast, answersForMs);
+  return { acceptsForMs, staysOpenForMs, answersForMs, closesWithinMs };
 }
 
-/** One planned stop; a phase is never gone back to. */
+/** One planned stop; it never returns to an earlier phase. */
 export class PlannedStop {
   readonly #times: StopTimes;
-  readonly #begunAt: number;
+  readonly #startedAt: number;
   #phase: StopPhase = "taking";
 
   constructor(times: StopTimes, now: number) {
     this.#times = times;
-    this.#begunAt = now;
+    this.#startedAt = now;
   }
 
+  /** The phase after the last call of `advance`. */
   get phase(): StopPhase {
     return this.#phase;
   }
 
-  /** underWay: requests and calls that are not finished. */
-  advance(now: number, underWay: number): StopPhase {
-    const passed = now - this.#begunAt;
-    const { takesFor, staysFor, answersFor, closesWithin } = this.#times;
-    if (this.#phase === "closed" || passed < takesFor) return this.#phase;
-    if (passed >= closesWithin) this.#phase = "closed";
+  /** Moves on to the phase due now. `inProgress` is the number of unfinished requests and calls. */
+  advance(now: number, inProgress: number): StopPhase {
+    const elapsedMs = now - this.#startedAt;
+    const { acceptsForMs, staysOpenForMs, answersForMs, closesWithinMs } = this.#times;
+    if (this.#phase === "closed" || elapsedMs < acceptsForMs) return this.#phase;
+    if (elapsedMs >= closesWithinMs) this.#phase = "closed";
     else if (this.#phase === "taking") this.#phase = "refusing";
-    /** What comes at the turn of the phase is seen at the next look. */
-    else if (underWay === 0 && passed >= staysFor) this.#phase = "closed";
-    else if (passed >= answersFor) this.#phase = "last-answers";
+    // Requests that arrive at the change of phase are counted at the next call.
+    else if (inProgress === 0 && elapsedMs >= staysOpenForMs) this.#phase = "closed";
+    else if (elapsedMs >= answersForMs) this.#phase = "last-answers";
     return this.#phase;
   }
 }
--- a/packages/data/src/recent-asks.ts
+++ b/packages/data/src/recent-asks.ts
@@ -1,20 +1,21 @@
+/** Recent requests of this incarnation of a process. */
 import { constants } from "@chutewick/parts";
 
 /**
- * When a node asked something of others, lately and in its present life. The clock of a process begins anew with each life, so the
- * moment that an answer names says nothing until it is known to be one of this life.
+ * Times of the requests that this incarnation of a node sent recently. The monotonic clock restarts with each incarnation, so the request
+ * time that an answer names is valid only if it is one of these.
  */
 export class RecentAsks {
-  #moments: number[] = [];
+  #requestTimes: number[] = [];
 
-  /** Something is asked at a moment, in ms. */
+  /** Records a request sent at `now`, in ms. */
   asked(now: number): void {
-    this.#moments = this.#moments.filter((moment) => now - moment <= constants.sessionLasts);
-    if (this.#moments.at(-1) !== now) this.#moments.push(now);
+    this.#requestTimes = this.#requestTimes.filter((time) => now - time <= constants.sessionLasts);
+    if (this.#requestTimes.at(-1) !== now) this.#requestTimes.push(now);
   }
 
-  /** Whether it was at this moment that something was asked. */
-  includes(moment: number): boolean {
-    return this.#moments.includes(moment);
+  /** Whether a request was sent at this time. */
+  includes(time: number): boolean {
+    return this.#requestTimes.includes(time);
   }
 }
--- a/packages/data/src/storage-core.ts
+++ b/packages/data/src/storage-core.ts
@@ -1,3 +1,4 @@
+/** The logic of a storage machine without I/O: a set of queues, each one partition with chain replication (docs/design.md §3). */
 import {
   Chain,
   QueueMachine,
@@ -27,7 +28,7 @@
 import type { DataMessage, QueueOutcome } from "./queue-messages.js";
 import { QueueRefusals } from "./queue-refusals.js";
 
-/** A storage machine without I/O: queues, each one chain partition (docs/design.md §3). */
+/** Output of the storage core, which its process carries out: a message, a disk write or a log line. */
 export type StorageOutput =
   | { readonly kind: "send"; readonly to: string; readonly message: DataMessage }
   | {
@@ -38,17 +39,19 @@
     }
   | { readonly kind: "note"; readonly text: string; readonly facts: Record<string, unknown> };
 
-interface Waiting {
+/** A command that was submitted to its chain and has no result yet. */
+interface PendingCommand {
   readonly ticket: string;
   readonly to: string;
-  readonly held: number;
+  /** ms. How long the command was held before it was submitted. */
+  readonly heldMs: number;
   readonly command: QueueCommand;
 }
 
 type DrawCommand = Extract<QueueCommand, { kind: "draw" }>;
 
-/** A read of results that waits for one, or a draw that waits for a prompt. */
-interface Held {
+/** A long poll: a read that waits for results, or a draw (dequeue) that waits for an item. */
+interface HeldCommand {
   readonly ticket: string;
   readonly to: string;
   readonly command: Extract<QueueCommand, { kind: "results" | "draw" }>;
@@ -56,74 +59,77 @@
   readonly until: number;
 }
 
+/** One queue of this machine with the state that only its owner keeps. */
 interface Partition {
   readonly chain: Chain;
   readonly machine: QueueMachine;
   readonly heartbeats: ClaimHeartbeats;
   readonly refusals: QueueRefusals;
-  ownedMark: number;
-  lookedAt: number;
-  limiting: boolean;
-  /** Mark of the share being entered, and of that which is confirmed under this ownership. */
-  enteredMark: number;
-  shareMark: number;
-  held: Held[];
-  /** Since when the configuration has had no such passage, of those with items here. */
-  readonly gone: Map<string, number>;
+  /** Epoch of the view under which this machine became the owner. */
+  ownedEpoch: number;
+  lastCheckedAt: number;
+  isEnteringLimits: boolean;
+  /** Version of the share that was entered last. */
+  enteredShareVersion: number;
+  /** Version of the share that is committed under this ownership. */
+  committedShareVersion: number;
+  heldCommands: HeldCommand[];
+  /** Passages with items here that the configuration lacks, with the time since when. */
+  readonly missingSince: Map<string, number>;
 }
 
-type QueueShareTelling = NonNullable<Telling["shares"]>[number];
+type QueueShareReport = NonNullable<Telling["shares"]>[number];
 
-/** Ticket under which an owner enters limits, before the mark of the share. */
-const LIMIT_TICKET = "limit/";
+/** Prefix of the ticket under which an owner enters limits; the version of the share follows. */
+const LIMIT_TICKET_PREFIX = "limit/";
 
-/** What a draw is told for which nothing came while it was held. */
-const NOTHING_DRAWN: QueueOutcome = {
+/** Result of a held draw for which no item arrived in time. */
+const EMPTY_DRAW_OUTCOME: QueueOutcome = {
   kind: "confirmed",
   value: { kind: "DRAWN", tasks: [], more: "EMPTY", wait: undefined },
 };
 
-/** Why an owner does not take what the configuration governs. */
-const NO_LEASE = "the owner holds no lease";
+/** Reason for rejecting a command that requires a lease. */
+const NO_LEASE_REASON = "the owner holds no lease";
 
-/** The queues of one storage machine. */
+/** The queues of one storage machine and its membership in the fleet. */
 export class StorageCore {
   readonly membership: Membership;
-  #standing: Standing;
+  #node: Standing;
   #partitions = new Map<string, Partition>();
-  #waiting = new Map<string, Waiting>();
+  #pendingCommands = new Map<string, PendingCommand>();
   #ticketNumber = 0;
   #disk: DiskCondition = "writable";
-  /** A planned stop is under way. */
   #isStopping = false;
 
   constructor(
-    standing: Standing,
+    node: Standing,
     seeds: readonly string[],
-    holdings: ReadonlyMap<string, ChainHolding>,
+    persistedChains: ReadonlyMap<string, ChainHolding>,
     now: number,
-    chosen: Policy = policy.usual,
+    deploymentPolicy: Policy = policy.usual,
   ) {
-    this.#standing = standing;
+    this.#node = node;
     const self = this;
-    function telling(): Telling {
-      return self.#telling();
+    function createReport(): Telling {
+      return self.#createReport();
     }
-    this.membership = new Membership(standing, seeds, now, telling, chosen);
+    this.membership = new Membership(node, seeds, now, createReport, deploymentPolicy);
     this.#now = now;
-    for (const [queue, holding] of holdings) this.#open(queue, now, holding);
+    for (const [queue, persisted] of persistedChains) this.#open(queue, now, persisted);
   }
 
   #now: number;
 
-  #open(queue: string, now: number, holding?: ChainHolding): Partition {
+  /** Starts to keep a queue, with what the disk holds of it. */
+  #open(queue: string, now: number, persisted?: ChainHolding): Partition {
     const machine = new QueueMachine();
     const chain = new Chain(
       queue,
-      { identity: this.#standing.identity, address: this.#standing.address },
+      { identity: this.#node.identity, address: this.#node.address },
       machine,
       now,
-      holding,
+      persisted,
       this.membership.policy.copiesLeast,
     );
     const partition: Partition = {
@@ -131,34 +137,36 @@
       machine,
       heartbeats: new ClaimHeartbeats(),
       refusals: new QueueRefusals(),
-      ownedMark: 0,
-      lookedAt: 0,
-      limiting: false,
-      enteredMark: 0,
-      shareMark: 0,
-      held: [],
-      gone: new Map(),
+      ownedEpoch: 0,
+      lastCheckedAt: 0,
+      isEnteringLimits: false,
+      enteredShareVersion: 0,
+      committedShareVersion: 0,
+      heldCommands: [],
+      missingSince: new Map(),
     };
     this.#partitions.set(queue, partition);
     return partition;
   }
 
-  #telling(): Telling {
+  /** The part of this machine's heartbeats that describes its queues. */
+  #createReport(): Telling {
     const copied: [string, number][] = [];
     const stuck: [string, number, string][] = [];
     for (const [queue, { chain }] of this.#partitions) {
       if (chain.copiedMark > 0) copied.push([queue, chain.copiedMark]);
-      const held = chain.stuck(this.#now);
-      if (held !== undefined) stuck.push([queue, chain.view!.mark, held.identity]);
+      const stuckMember = chain.stuck(this.#now);
+      if (stuckMember !== undefined) stuck.push([queue, chain.view!.mark, stuckMember.identity]);
     }
-    const shares: QueueShareTelling[] = [];
+    const shares: QueueShareReport[] = [];
     for (const partition of this.#partitions.values()) {
-      const share = shareTelling(partition, this.#now);
+      const share = createShareReport(partition, this.#now);
       if (share !== undefined) shares.push(share);
     }
     return { copied, stuck, shares };
   }
 
+  /** Handles a message from another process. */
   receive(message: DataMessage, from: string, now: number): StorageOutput[] {
     this.#now = now;
     switch (message.kind) {
@@ -178,7 +186,7 @@
       case "feed":
       case "feed-digest": {
         if (!this.membership.receive(message, from, now)) return [];
-        return [...this.#views(now), ...this.membership.tell(now)];
+        return [...this.#adoptViews(now), ...this.membership.tell(now)];
       }
       case "lease":
       case "controls":
@@ -188,7 +196,7 @@
       case "fellow-tell":
         return this.membership.peer(message, from, now);
       case "queue-inquiry":
-        return this.#inquire(
+        return this.#handleCommand(
           message.ticket,
           message.queue,
           message.command,
@@ -207,14 +215,14 @@
     }
   }
 
-  /** Views of queues come by the feed; each is adopted by its mark alone. */
-  #views(now: number): StorageOutput[] {
+  /** Adopts the views of queues that the feed brought; a view is newer when its epoch is higher. */
+  #adoptViews(now: number): StorageOutput[] {
     const outputs: StorageOutput[] = [];
     for (const [key, view] of this.membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
       let partition = this.#partitions.get(queue);
       if (partition === undefined) {
-        if (!concerns(view, this.#standing.identity)) continue;
+        if (!includesMachine(view, this.#node.identity)) continue;
         partition = this.#open(queue, now);
       }
       if ((partition.chain.view?.mark ?? 0) < view.mark) {
@@ -234,41 +242,45 @@
     return outputs;
   }
 
-  #inquire(
+  /** Executes a command of another machine, or holds it for at most `holdMs` until there is something to return. */
+  #handleCommand(
     ticket: string,
     queue: string,
     command: QueueCommand,
     from: string,
     now: number,
-    hold: number,
+    holdMs: number,
   ): StorageOutput[] {
     const partition = this.#partitions.get(queue);
     if (partition === undefined)
       return [result(from, ticket, { kind: "elsewhere", reason: "this queue is not kept here" })];
     if (!this.#isWritable && !isRead(command))
       return [result(from, ticket, { kind: "elsewhere", reason: this.#unwritableReason })];
-    const judged = this.#judge(partition, command, now);
-    if (judged.kind === "refused")
-      return [result(from, ticket, { kind: "elsewhere", reason: judged.reason })];
-    const lost = [
-      ...this.#limitsBefore(partition, command, now),
-      ...(command.kind === "draw" ? this.#takeBack(partition, command, now) : []),
+    const checked = this.#checkCommand(partition, command, now);
+    if (checked.kind === "refused")
+      return [result(from, ticket, { kind: "elsewhere", reason: checked.reason })];
+    const outputs = [
+      ...this.#enterLimitsBefore(partition, command, now),
+      ...(command.kind === "draw"
+        ? this.#endClaimsOfEarlierIncarnation(partition, command, now)
+        : []),
     ];
     if (
-      hold > 0 &&
+      holdMs > 0 &&
       (command.kind === "results" || command.kind === "draw") &&
       partition.chain.serves &&
-      !this.#isReady(partition, command, now)
+      !this.#canAnswer(partition, command, now)
     ) {
-      partition.held.push({ ticket, to: from, command, since: now, until: now + hold });
-      return lost;
+      partition.heldCommands.push({ ticket, to: from, command, since: now, until: now + holdMs });
+      return outputs;
     }
-    return [...lost, ...this.#enter(partition, ticket, from, judged.command, now)];
+    return [...outputs, ...this.#submitCommand(partition, ticket, from, checked.command, now)];
   }
 
-  #judge(partition: Partition, command: QueueCommand, now: number): GovernedCommand {
+  /** Applies the configuration to a command, if it is of a kind that requires a lease. */
+  #checkCommand(partition: Partition, command: QueueCommand, now: number): GovernedCommand {
     if (!isGoverned(command)) return { kind: "entered", command };
-    if (!this.membership.holds(now)) return { kind: "refused", reason: NO_LEASE };
+    if (!this.membership.holds(now)) return { kind: "refused", reason: NO_LEASE_REASON };
     const { chain, machine, refusals } = partition;
     const queue = {
       queue: chain.name,
@@ -279,79 +291,96 @@
     return governed(command, queue, now);
   }
 
-  /** A dispatcher that began anew at its address has lost what it had under way. */
-  #takeBack(partition: Partition, { holder, by }: DrawCommand, now: number): StorageOutput[] {
+  /** Ends the claims that a dispatcher held before it restarted at the same address: it has lost that work. */
+  #endClaimsOfEarlierIncarnation(
+    partition: Partition,
+    { holder, by }: DrawCommand,
+    now: number,
+  ): StorageOutput[] {
     const { chain, machine } = partition;
     if (!chain.serves || by === undefined) return [];
     const lost: { claim: Claim; ending: PassEnding }[] = [];
-    for (const [key, held] of machine.passes.processing())
-      if (held.holder === holder && held.by !== undefined && held.by !== by)
-        lost.push(broken(key, held.go));
+    for (const [key, claimed] of machine.passes.processing())
+      if (claimed.holder === holder && claimed.by !== undefined && claimed.by !== by)
+        lost.push(brokenClaim(key, claimed.go));
     if (lost.length === 0) return [];
-    return this.#enterOwn(partition, "lost", { kind: "settle", endings: lost }, now);
+    return this.#submitOwnCommand(partition, "lost", { kind: "settle", endings: lost }, now);
   }
 
-  #isReady({ chain, machine }: Partition, command: Held["command"], now: number): boolean {
+  /** Whether a held command has something to return. */
+  #canAnswer({ chain, machine }: Partition, command: HeldCommand["command"], now: number): boolean {
     if (command.kind === "results") return machine.passes.isTold(chain.ledger, command);
     return machine.passes.ready(command.able, chain.time(now), 1) > 0;
   }
 
-  /** What was held and can be told now, or waits no longer, is asked of the chain like any other: a stale owner tells nothing. */
-  #tellHeld(partition: Partition, now: number): StorageOutput[] {
-    if (partition.held.length === 0) return [];
+  /**
+   * Answers the held commands that have something to return or have timed out. They go through the chain like any other command, so that
+   * a stale owner returns nothing.
+   */
+  #answerHeldCommands(partition: Partition, now: number): StorageOutput[] {
+    if (partition.heldCommands.length === 0) return [];
     const outputs: StorageOutput[] = [];
-    const all = partition.held;
-    partition.held = [];
-    let draws = 0;
-    for (const { command } of all) if (command.kind === "draw") draws += 1;
-    for (const held of all) {
-      const isVain = partition.chain.serves && !this.#isReady(partition, held.command, now);
-      if (isVain && now < held.until) {
-        partition.held.push(held);
+    const heldCommands = partition.heldCommands;
+    partition.heldCommands = [];
+    let waitingDraws = 0;
+    for (const { command } of heldCommands) if (command.kind === "draw") waitingDraws += 1;
+    for (const held of heldCommands) {
+      const hasNothing = partition.chain.serves && !this.#canAnswer(partition, held.command, now);
+      if (hasNothing && now < held.until) {
+        partition.heldCommands.push(held);
         continue;
       }
       const { ticket, to, command, since } = held;
       if (command.kind !== "draw")
-        outputs.push(...this.#enter(partition, ticket, to, command, now, now - since));
-      /** That nothing was drawn promises nothing, so no other replica is asked (docs/design.md §13.7.3). */
-      else if (isVain) outputs.push(result(to, ticket, NOTHING_DRAWN, now - since));
-      else outputs.push(...this.#drawHeld(partition, { ...held, command }, draws, now));
-      if (command.kind === "draw") draws -= 1;
+        outputs.push(...this.#submitCommand(partition, ticket, to, command, now, now - since));
+      // An empty draw commits to nothing, so it is answered without the other replicas (docs/design.md §13.7.3).
+      else if (hasNothing) outputs.push(result(to, ticket, EMPTY_DRAW_OUTCOME, now - since));
+      else
+        outputs.push(...this.#answerHeldDraw(partition, { ...held, command }, waitingDraws, now));
+      if (command.kind === "draw") waitingDraws -= 1;
     }
     return outputs;
   }
 
-  /** Each of the draws that wait gets its part, so that the work is spread. */
-  #drawHeld(
+  /** Gives a held draw an equal part of the ready items, so that the work spreads over all draws that wait. */
+  #answerHeldDraw(
     partition: Partition,
-    { ticket, to, command, since }: Held & { readonly command: DrawCommand },
-    draws: number,
+    { ticket, to, command, since }: HeldCommand & { readonly command: DrawCommand },
+    waitingDraws: number,
     now: number,
   ): StorageOutput[] {
     if (!this.membership.holds(now))
-      return [result(to, ticket, { kind: "elsewhere", reason: NO_LEASE })];
+      return [result(to, ticket, { kind: "elsewhere", reason: NO_LEASE_REASON })];
     const { chain, machine } = partition;
-    const ready = machine.passes.ready(command.able, chain.time(now), command.most * draws);
-    const most = Math.max(1, Math.min(command.most, Math.ceil(ready / draws)));
-    return this.#enter(partition, ticket, to, { ...command, most }, now, now - since);
+    const ready = machine.passes.ready(command.able, chain.time(now), command.most * waitingDraws);
+    const maxItems = Math.max(1, Math.min(command.most, Math.ceil(ready / waitingDraws)));
+    return this.#submitCommand(
+      partition,
+      ticket,
+      to,
+      { ...command, most: maxItems },
+      now,
+      now - since,
+    );
   }
 
-  #enter(
+  /** Submits a command to the chain and remembers who waits for its result. */
+  #submitCommand(
     partition: Partition,
     ticket: string,
     to: string,
     command: QueueCommand,
     now: number,
-    held = 0,
+    heldMs = 0,
   ): StorageOutput[] {
     this.#ticketNumber += 1;
-    const own = String(this.#ticketNumber);
-    this.#waiting.set(own, { ticket, to, held, command });
-    return this.#perform(partition, partition.chain.inquire(own, command, now), now);
+    const chainTicket = String(this.#ticketNumber);
+    this.#pendingCommands.set(chainTicket, { ticket, to, heldMs, command });
+    return this.#perform(partition, partition.chain.inquire(chainTicket, command, now), now);
   }
 
-  /** Enters a command of the owner itself, of whose result nobody is told. */
-  #enterOwn(
+  /** Submits a command of the owner itself, whose result is returned to nobody. */
+  #submitOwnCommand(
     partition: Partition,
     ticket: string,
     command: QueueCommand,
@@ -360,48 +389,57 @@
     return this.#perform(partition, partition.chain.inquire(ticket, command, now), now);
   }
 
+  /** Turns what a chain asks for into outputs of this core. */
   #perform(partition: Partition, commands: ChainCommand[], now: number): StorageOutput[] {
     const outputs: StorageOutput[] = [];
     for (const command of commands) {
       if (command.kind === "send" || command.kind === "write") outputs.push(command);
       else if (command.kind === "result")
-        outputs.push(...this.#ended(partition, command.ticket, command.result, now));
+        outputs.push(...this.#handleResult(partition, command.ticket, command.result, now));
     }
     return outputs;
   }
 
-  #ended(partition: Partition, own: string, told: ChainResult, now: number): StorageOutput[] {
-    if (own.startsWith(LIMIT_TICKET)) {
-      const mark = Number(own.slice(LIMIT_TICKET.length));
-      if (mark === partition.enteredMark) partition.limiting = false;
-      if (told.kind === "confirmed") partition.shareMark = Math.max(partition.shareMark, mark);
+  /** Returns the result of a command from the chain to whoever waits for it. */
+  #handleResult(
+    partition: Partition,
+    chainTicket: string,
+    outcome: ChainResult,
+    now: number,
+  ): StorageOutput[] {
+    if (chainTicket.startsWith(LIMIT_TICKET_PREFIX)) {
+      const version = Number(chainTicket.slice(LIMIT_TICKET_PREFIX.length));
+      if (version === partition.enteredShareVersion) partition.isEnteringLimits = false;
+      if (outcome.kind === "confirmed")
+        partition.committedShareVersion = Math.max(partition.committedShareVersion, version);
       return [];
     }
-    const waiting = this.#waiting.get(own);
-    if (waiting === undefined) return [];
-    this.#waiting.delete(own);
-    if (told.kind === "elsewhere")
+    const pending = this.#pendingCommands.get(chainTicket);
+    if (pending === undefined) return [];
+    this.#pendingCommands.delete(chainTicket);
+    if (outcome.kind === "elsewhere")
       return [
-        result(waiting.to, waiting.ticket, {
+        result(pending.to, pending.ticket, {
           kind: "elsewhere",
           reason: "this machine is not the owner, or the queue has too few copies",
         }),
       ];
-    if (told.kind === "unknown") return [result(waiting.to, waiting.ticket, { kind: "unknown" })];
-    const value = this.#noted(partition, told.value as QueueResult, waiting.command, now);
+    if (outcome.kind === "unknown")
+      return [result(pending.to, pending.ticket, { kind: "unknown" })];
+    const value = this.#recordResult(partition, outcome.value as QueueResult, pending.command, now);
     const outputs: StorageOutput[] = [
-      result(waiting.to, waiting.ticket, { kind: "confirmed", value }, waiting.held),
+      result(pending.to, pending.ticket, { kind: "confirmed", value }, pending.heldMs),
     ];
     if (value.kind === "ENDED")
       for (const holder of value.holders)
         outputs.push({ kind: "send", to: holder, message: { kind: "lot-ended", lot: value.lot } });
     if (value.kind === "SETTLED" || value.kind === "ENDED" || value.kind === "HANDED")
-      outputs.push(...this.#tellHeld(partition, now));
+      outputs.push(...this.#answerHeldCommands(partition, now));
     return outputs;
   }
 
-  /** What a result says of the queue's room and claims is noted; a refusal for want of room is told with a wait. */
-  #noted(
+  /** Records what a result says of the queue's free capacity and claims; a rejection for lack of capacity gets a wait time. */
+  #recordResult(
     { refusals, heartbeats }: Partition,
     value: QueueResult,
     command: QueueCommand,
@@ -418,7 +456,7 @@
         refusals.forgetLot(value.lot);
         return value;
       case "DRAWN":
-        /** A dispatcher can take up only what it was told of. */
+        // A dispatcher can start an item only after it received the claim, so the claim timeout starts here.
         for (const task of value.tasks) heartbeats.toldTask(task, now);
         return value;
       case "FULL":
@@ -429,6 +467,7 @@
     }
   }
 
+  /** A disk write of a queue is durable. */
   written(queue: string, ticket: number, now: number): StorageOutput[] {
     this.#now = now;
     const partition = this.#partitions.get(queue);
@@ -437,75 +476,82 @@
       : this.#perform(partition, partition.chain.written(ticket, now), now);
   }
 
+  /** Periodic work: timeouts, held commands, the owner's checks and heartbeats. */
   beat(now: number): StorageOutput[] {
     this.#now = now;
     const outputs: StorageOutput[] = [];
     for (const partition of this.#partitions.values()) {
       outputs.push(...this.#perform(partition, partition.chain.beat(now), now));
-      outputs.push(...this.#tellHeld(partition, now));
-      if (partition.chain.serves) outputs.push(...this.#own(partition, now));
+      outputs.push(...this.#answerHeldCommands(partition, now));
+      if (partition.chain.serves) outputs.push(...this.#runOwnerChecks(partition, now));
     }
     outputs.push(...this.membership.beat(now));
     return outputs;
   }
 
-  /** The owner's watch: limits in force, claims without a sign of life, lots out of time (§3, §5). */
-  #own(partition: Partition, now: number): StorageOutput[] {
+  /** Periodic checks of a queue's owner: current limits, claims without a heartbeat, removed passages and expired lots. */
+  #runOwnerChecks(partition: Partition, now: number): StorageOutput[] {
     const { chain, machine } = partition;
-    if (partition.ownedMark !== chain.view!.mark) {
-      partition.ownedMark = chain.view!.mark;
-      partition.limiting = false;
-      partition.shareMark = 0;
+    if (partition.ownedEpoch !== chain.view!.mark) {
+      partition.ownedEpoch = chain.view!.mark;
+      partition.isEnteringLimits = false;
+      partition.committedShareVersion = 0;
       partition.heartbeats.clear();
     }
-    if (now - partition.lookedAt < constants.planEvery) return [];
-    partition.lookedAt = now;
+    if (now - partition.lastCheckedAt < constants.planEvery) return [];
+    partition.lastCheckedAt = now;
     const outputs = this.#enterLimits(partition, now);
-    outputs.push(...this.#takeBackOrphans(partition, now));
-    outputs.push(...this.#dropGone(partition, now));
+    outputs.push(...this.#revokeOrphanedClaims(partition, now));
+    outputs.push(...this.#dropRemovedPassages(partition, now));
     if (machine.due(chain.ledger, chain.time(now)))
-      outputs.push(...this.#enterOwn(partition, "expire", { kind: "expire" }, now));
+      outputs.push(...this.#submitOwnCommand(partition, "expire", { kind: "expire" }, now));
     return outputs;
   }
 
-  /** A new owner enters nothing new, but has what it holds confirmed once before it tells of it. */
+  /**
+   * Enters the newest limits of the feed into the chain. A new owner without newer ones enters those that it holds once more, so that
+   * they are committed under its ownership before it reports them.
+   */
   #enterLimits(partition: Partition, now: number): StorageOutput[] {
     const { chain, machine } = partition;
     const share = machine.share(chain.ledger);
-    const entered = this.#newerStanding(partition);
-    if (entered === undefined && (partition.limiting || partition.shareMark >= (share?.mark ?? 0)))
+    const newerQuota = this.#newerQuota(partition);
+    if (
+      newerQuota === undefined &&
+      (partition.isEnteringLimits || partition.committedShareVersion >= (share?.mark ?? 0))
+    )
       return [];
-    partition.limiting = true;
+    partition.isEnteringLimits = true;
     const command: QueueCommand = {
       kind: "limit",
-      limits: entered?.limits ?? share!.limits,
-      share: entered?.target ?? share!.share,
-      mark: entered?.shareMark ?? share!.mark,
-      classes: entered === undefined ? classesOf(share) : sharesOf(entered),
+      limits: newerQuota?.limits ?? share!.limits,
+      share: newerQuota?.target ?? share!.share,
+      mark: newerQuota?.shareMark ?? share!.mark,
+      classes: newerQuota === undefined ? classesOf(share) : shareClassesOf(newerQuota),
     };
-    partition.enteredMark = command.mark;
-    return this.#enterOwn(partition, `${LIMIT_TICKET}${command.mark}`, command, now);
+    partition.enteredShareVersion = command.mark;
+    return this.#submitOwnCommand(partition, `${LIMIT_TICKET_PREFIX}${command.mark}`, command, now);
   }
 
-  /** What the feed says of the queue, where its ledger has an older share. */
-  #newerStanding({ chain, machine }: Partition): QueueStanding | undefined {
-    const standing = this.membership.follower.read<QueueStanding>(keys.standing + chain.name);
-    const shareMark = machine.share(chain.ledger)?.mark ?? 0;
-    return standing !== undefined && standing.shareMark > shareMark ? standing : undefined;
+  /** The quota that the feed has for the queue, if the share in the ledger is older. */
+  #newerQuota({ chain, machine }: Partition): QueueStanding | undefined {
+    const quota = this.membership.follower.read<QueueStanding>(keys.standing + chain.name);
+    const ledgerVersion = machine.share(chain.ledger)?.mark ?? 0;
+    return quota !== undefined && quota.shareMark > ledgerVersion ? quota : undefined;
   }
 
   /**
-   * A change is told as confirmed once every lease holder has it (§7). So what a share governs is judged by the newest one that
-   * this owner has taken from the feed, which therefore goes into the chain before it.
+   * Enters newer limits of the feed before a command that they govern. A change of configuration is acknowledged once every lease holder
+   * has received it, so the owner must apply the newest share that it knows (docs/design.md §7).
    */
-  #limitsBefore(partition: Partition, command: QueueCommand, now: number): StorageOutput[] {
+  #enterLimitsBefore(partition: Partition, command: QueueCommand, now: number): StorageOutput[] {
     const isDue =
-      isGoverned(command) && partition.chain.serves && this.#newerStanding(partition) !== undefined;
+      isGoverned(command) && partition.chain.serves && this.#newerQuota(partition) !== undefined;
     return isDue ? this.#enterLimits(partition, now) : [];
   }
 
-  /** Claims without a sign of life go back to where they waited. */
-  #takeBackOrphans(partition: Partition, now: number): StorageOutput[] {
+  /** Returns items whose claims have no recent heartbeat to the queue. */
+  #revokeOrphanedClaims(partition: Partition, now: number): StorageOutput[] {
     const { chain, machine, heartbeats } = partition;
     const orphans: Claim[] = [];
     const processing = machine.processing();
@@ -514,7 +560,7 @@
     const lost: { claim: Claim; ending: PassEnding }[] = [];
     const tasks = machine.passes.processing();
     for (const [key, { go }] of tasks)
-      if (!heartbeats.isTaskAlive(key, go, chain, now)) lost.push(broken(key, go));
+      if (!heartbeats.isTaskAlive(key, go, chain, now)) lost.push(brokenClaim(key, go));
     heartbeats.forgetAllBut(processing, tasks);
     const count = orphans.length + lost.length;
     if (count === 0) return [];
@@ -526,43 +572,49 @@
       },
     ];
     if (orphans.length > 0)
-      outputs.push(...this.#enterOwn(partition, "orphans", { kind: "reset", items: orphans }, now));
+      outputs.push(
+        ...this.#submitOwnCommand(partition, "orphans", { kind: "reset", items: orphans }, now),
+      );
     if (lost.length > 0)
-      outputs.push(...this.#enterOwn(partition, "lost", { kind: "settle", endings: lost }, now));
+      outputs.push(
+        ...this.#submitOwnCommand(partition, "lost", { kind: "settle", endings: lost }, now),
+      );
     return outputs;
   }
 
-  /** Items of passages that the configuration no longer has end with them. */
-  #dropGone(partition: Partition, now: number): StorageOutput[] {
-    const { machine, gone } = partition;
+  /** Drops the items of passages that have been missing from the configuration for long enough. */
+  #dropRemovedPassages(partition: Partition, now: number): StorageOutput[] {
+    const { machine, missingSince } = partition;
     const outputs: StorageOutput[] = [];
     if (!this.membership.holds(now)) {
-      gone.clear();
+      missingSince.clear();
       return outputs;
     }
     const { passages } = this.membership.configuration.value;
     const missing = new Set<string>();
     for (const way of machine.passes.ways())
       if (!Object.hasOwn(passages ?? {}, way) || passages[way]!.kind !== "lot") missing.add(way);
-    for (const way of [...gone.keys()]) if (!missing.has(way)) gone.delete(way);
+    for (const way of [...missingSince.keys()]) if (!missing.has(way)) missingSince.delete(way);
     for (const way of missing) {
-      const since = gone.get(way) ?? now;
-      gone.set(way, since);
+      const since = missingSince.get(way) ?? now;
+      missingSince.set(way, since);
       if (now - since >= constants.passageGone)
-        outputs.push(...this.#enterOwn(partition, "drop-way", { kind: "drop-way", way }, now));
+        outputs.push(
+          ...this.#submitOwnCommand(partition, "drop-way", { kind: "drop-way", way }, now),
+        );
     }
     return outputs;
   }
 
-  /** A planned stop: control takes this machine out of the chains that keep two copies without it. */
+  /** Begins a planned stop: control removes this machine from the chains that keep two copies without it. */
   leave(now: number): StorageOutput[] {
     this.#isStopping = true;
     return this.membership.leave(now);
   }
 
   /**
-   * The disk of this machine refuses writes, or takes them again. Meanwhile the machine leaves its chains as one that stops does, as long
-   * as enough copies stay, takes nothing that must be written and goes on with reads (§3.4).
+   * The disk of this machine rejects writes, or accepts them again. While it rejects them, the machine leaves its chains like one that
+   * stops, as far as enough copies remain; it rejects commands that need a write and serves reads (docs/design.md §3.4).
    */
   diskChanged(condition: DiskCondition, now: number): StorageOutput[] {
     this.#disk = condition;
@@ -580,13 +632,14 @@
       : "the disk of the owner takes no writes";
   }
 
-  /** Queues that this machine still is a member of. */
+  /** Number of queues whose chain this machine is still a member of. */
   get held(): number {
     let count = 0;
     for (const { chain } of this.#partitions.values()) if (chain.position >= 0) count += 1;
     return count;
   }
 
+  /** The state for the operator's status page. */
   status(now: number): Record<string, unknown> {
     const queues: Record<string, unknown> = {};
     for (const [queue, { chain, machine }] of this.#partitions) {
@@ -602,8 +655,8 @@
       };
     }
     return {
-      identity: this.#standing.identity,
-      zone: this.#standing.zone,
+      identity: this.#node.identity,
+      zone: this.#node.zone,
       place: this.membership.follower.place,
       leaseLeft: Math.round(this.membership.leaseLeft(now)),
       disk: this.#disk,
@@ -612,16 +665,18 @@
   }
 }
 
-function broken(key: string, go: number): { claim: Claim; ending: PassEnding } {
+/** The claim of an item whose dispatcher is lost, with an ending that counts as a broken attempt. */
+function brokenClaim(key: string, go: number): { claim: Claim; ending: PassEnding } {
   return {
     claim: claimOf(key, go),
     ending: { kind: "broken", text: "", events: 0, upTo: undefined },
   };
 }
 
-function sharesOf(standing: QueueStanding): ShareClass[] {
+/** The share of each class of a quota. */
+function shareClassesOf(quota: QueueStanding): ShareClass[] {
   const classes: ShareClass[] = [];
-  for (const { season, select, runners, target } of standingClasses(standing))
+  for (const { season, select, runners, target } of standingClasses(quota))
     classes.push({ season, select, runners, share: target });
   return classes;
 }
@@ -631,44 +686,47 @@
   return kind === "status" || kind === "count" || kind === "results" || kind === "read-item";
 }
 
-/** What an owner tells control of its share; undefined before the share is confirmed under this ownership. */
-function shareTelling(
-  { chain, machine, shareMark, refusals }: Partition,
+/** An owner's report of its share to control; undefined until the share is committed under this ownership. */
+function createShareReport(
+  { chain, machine, committedShareVersion, refusals }: Partition,
   now: number,
-): QueueShareTelling | undefined {
+): QueueShareReport | undefined {
   const share = machine.share(chain.ledger);
-  if (!chain.serves || share === undefined || shareMark !== share.mark) return undefined;
+  if (!chain.serves || share === undefined || committedShareVersion !== share.mark)
+    return undefined;
   const open = machine.open();
-  const needs = new Map(open);
-  refusals.addNeeds(needs, now);
+  const demand = new Map(open);
+  refusals.addNeeds(demand, now);
   const classes: ShareTelling[] = [];
-  let [allHeld, allNeed] = [0, 0];
-  for (const { season, share: may } of classesOf(share)) {
-    const held = Math.max(may, open.get(season) ?? 0);
-    const need = needs.get(season) ?? 0;
+  let [totalHeld, totalDemand] = [0, 0];
+  for (const { season, share: seasonShare } of classesOf(share)) {
+    const held = Math.max(seasonShare, open.get(season) ?? 0);
+    const seasonDemand = demand.get(season) ?? 0;
     open.delete(season);
-    classes.push([season, held, need]);
-    allHeld += held;
-    allNeed += need;
+    classes.push([season, held, seasonDemand]);
+    totalHeld += held;
+    totalDemand += seasonDemand;
   }
-  /** Lots of seasons that have no class any more. */
+  // Open lots of seasons that have no class any more.
   for (const [season, held] of open) {
     classes.push([season, held, held]);
-    allHeld += held;
+    totalHeld += held;
   }
-  return [chain.name, shareMark, allHeld, allNeed, classes];
+  return [chain.name, committedShareVersion, totalHeld, totalDemand, classes];
 }
 
-function concerns(view: ChainView, identity: string): boolean {
+/** Whether a machine is a member or the learner of a view. */
+function includesMachine(view: ChainView, identity: string): boolean {
   if (view.joiner?.identity === identity) return true;
   for (const member of view.members) if (member.identity === identity) return true;
   return false;
 }
 
-function result(to: string, ticket: string, told: QueueOutcome, held = 0): StorageOutput {
+/** A message with the outcome of a queue command. */
+function result(to: string, ticket: string, outcome: QueueOutcome, heldMs = 0): StorageOutput {
   return {
     kind: "send",
     to,
-    message: { kind: "queue-result", ticket, outcome: told, ...(held > 0 ? { held } : {}) },
+    message: { kind: "queue-result", ticket, outcome, ...(heldMs > 0 ? { held: heldMs } : {}) },
   };
 }
--- a/packages/data/src/storage-service.ts
+++ b/packages/data/src/storage-service.ts
@@ -1,3 +1,4 @@
+/** The process of a storage machine. */
 import {
   Beat,
   countsOfWire,
@@ -29,14 +30,14 @@
 import type { DataMessage } from "./queue-messages.js";
 import { StorageCore, type StorageOutput } from "./storage-core.js";
 
-/** The storage process: sockets, folder and beats round the core (docs/design.md §10). */
+/** Connects the storage core to its sockets, its data folder and its timer (docs/design.md §10). */
 export class StorageProcess {
   #log: Log;
   #core: StorageCore;
   #disk: Disk;
   #wire: Wire;
   #gateway: Gateway;
-  #beat = new Beat();
+  #timer = new Beat();
 
   private constructor(settings: Settings, log: Log, disk: Disk) {
     this.#log = log;
@@ -45,8 +46,8 @@
     function receive(message: unknown, from: string): void {
       self.#perform(self.#core.receive(message as DataMessage, from, monotonic()));
     }
-    const holdings = new Map<string, ChainHolding>();
-    for (const chain of disk.chains()) holdings.set(chain, disk.holding(chain)!);
+    const persistedChains = new Map<string, ChainHolding>();
+    for (const chain of disk.chains()) persistedChains.set(chain, disk.holding(chain)!);
     disk.forgetFound();
     this.#core = new StorageCore(
       {
@@ -58,7 +59,7 @@
         name: settings.name,
       },
       settings.seeds,
-      holdings,
+      persistedChains,
       monotonic(),
       configured.policyOf(settings),
     );
@@ -66,56 +67,59 @@
     this.#gateway = new Gateway({
       address: settings.http,
       log,
-      owners: [this.#owner()],
+      owners: [this.#operatorService()],
       openings: operatorOpenings,
     });
   }
 
+  /** Opens the data folder, starts the process and listens; fails with the reason that kept it from doing so. */
   static async open(settings: Settings, log: Log): Promise<Outcome<StorageProcess>> {
-    const running: { process?: StorageProcess } = {};
+    const started: { process?: StorageProcess } = {};
     function conditionChanged(condition: DiskCondition): void {
-      running.process?.changeDisk(condition);
+      started.process?.changeDisk(condition);
     }
     const disk = await openDataFolder({ kind: "storage", settings, log, conditionChanged });
     if (!disk.ok) return disk;
-    const held = disk.value;
-    const opened = new StorageProcess(settings, log, held);
-    running.process = opened;
-    const trouble = await listen(opened.#wire, opened.#gateway);
-    if (trouble !== undefined) return outcome.bad(trouble);
-    function strike(now: number): void {
-      held.beat(now);
-      opened.#perform(opened.#core.beat(now));
-      opened.#wire.beat(now);
+    const dataFolder = disk.value;
+    const storageProcess = new StorageProcess(settings, log, dataFolder);
+    started.process = storageProcess;
+    const failure = await listen(storageProcess.#wire, storageProcess.#gateway);
+    if (failure !== undefined) return outcome.bad(failure);
+    function tick(now: number): void {
+      dataFolder.beat(now);
+      storageProcess.#perform(storageProcess.#core.beat(now));
+      storageProcess.#wire.beat(now);
     }
-    opened.#beat.start(strike);
+    storageProcess.#timer.start(tick);
     log.info({ identity: disk.value.identity, wire: settings.wire }, "storage machine is up");
-    return outcome.good(opened);
+    return outcome.good(storageProcess);
   }
 
+  /** Passes a change of the disk's condition to the core. */
   changeDisk(condition: DiskCondition): void {
     this.#perform(this.#core.diskChanged(condition, monotonic()));
   }
 
-  /** Planned stop: duties are handed over first, within a bound. */
+  /** Planned stop: first transfers the queues to other machines, within a bound of time, then closes everything. */
   async close(): Promise<void> {
     const { held } = this.#core;
     this.#perform(this.#core.leave(monotonic()));
     const self = this;
-    const until = monotonic() + constants.handOverPatience;
-    function handedOver(): boolean {
-      return self.#core.held === 0 || monotonic() > until;
+    const deadline = monotonic() + constants.handOverPatience;
+    function isHandoverDone(): boolean {
+      return self.#core.held === 0 || monotonic() > deadline;
     }
-    if (held > 0) await settled(handedOver);
+    if (held > 0) await settled(isHandoverDone);
     await this.#gateway.close();
-    this.#beat.stop();
+    this.#timer.stop();
     this.#wire.close();
     await this.#disk.close();
   }
 
-  #owner(): ServiceSchema {
+  /** Answers the requests of operators for status and metrics. */
+  #operatorService(): ServiceSchema {
     const self = this;
-    function status(arrival: Arrival): void {
+    function writeStatus(arrival: Arrival): void {
       reply(arrival.reply, 200, {
         ...self.#core.status(monotonic()),
         counts: {
@@ -128,13 +132,13 @@
         },
       });
     }
-    async function measured(arrival: Arrival): Promise<void> {
+    async function writeMetrics(arrival: Arrival): Promise<void> {
       const { queues } = self.#core.status(monotonic());
       reply(
         arrival.reply,
         200,
         await metrics.read({
-          queues: countsOf(
+          queues: queueMetrics(
             queues as Record<
               string,
               { owner: boolean; place: number; confirmed: number; count?: unknown }
@@ -145,9 +149,13 @@
         }),
       );
     }
-    return { name: "storage", events: { "operator.status": status, "operator.metrics": measured } };
+    return {
+      name: "storage",
+      events: { "operator.status": writeStatus, "operator.metrics": writeMetrics },
+    };
   }
 
+  /** Carries out the outputs of the core. */
   #perform(outputs: readonly StorageOutput[]): void {
     const self = this;
     for (const output of outputs) {
@@ -157,10 +165,10 @@
           break;
         case "write": {
           const { chain, ticket } = output;
-          function written(): void {
+          function onDurable(): void {
             self.#perform(self.#core.written(chain, ticket, monotonic()));
           }
-          this.#disk.writeChain(chain, output.write, written);
+          this.#disk.writeChain(chain, output.write, onDurable);
           break;
         }
         case "note":
@@ -172,18 +180,18 @@
   }
 }
 
-/** Of queues kept here: how far behind their confirmation is, and what the owner counts. */
-function countsOf(
+/** Metrics of the queues on this machine: the number of uncommitted entries, and the counts of the owner. */
+function queueMetrics(
   queues: Readonly<
     Record<string, { owner: boolean; place: number; confirmed: number; count?: unknown }>
   >,
 ): Record<string, unknown> {
-  const told: Record<string, unknown> = {};
+  const counts: Record<string, unknown> = {};
   for (const [queue, { owner, place, confirmed, count }] of Object.entries(queues))
-    told[queue] = {
+    counts[queue] = {
       owner,
       unconfirmed: place - confirmed,
       ...(count === undefined ? {} : { count }),
     };
-  return told;
+  return counts;
 }
