--- a/features/access-stop.feature
+++ b/features/access-stop.feature
@@ -27,8 +27,8 @@
     And the machine ended by itself with 0 before it was killed
 
   Scenario Outline: phases of a stop within <within> ms
-    Given a stop within <within> ms of a node with work under way until <work> ms after it began
-    Then it refuses new requests from <refuses> ms, gives last answers from <last> and is closed at <closed>
+    Given a stop within <within> ms of a node with work in progress until <work> ms after it began
+    Then it rejects new requests from <refuses> ms, sends last replies from <last> and is closed at <closed>
 
     Examples:
       | within | work  | refuses | last  | closed |
--- a/features/catch-up.feature
+++ b/features/catch-up.feature
@@ -12,14 +12,14 @@
       | 200    | 150000  |
       | 800    | 500000  |
 
-  Scenario: a node counts where it hears control and stays behind its feed
-    Given a node that hears each 0.3 s that control stands at place 7, and stands there too
-    When control goes on to place 8 and the node takes it 1.9 s later
-    Then the node counts 0 violations
-    When control goes on to place 9, and is silent for 5 s before the node takes it
-    Then the node counts 0 violations
-    When control goes on to place 10, and the node does not take it for 2.5 s
-    Then the node counts 1 violations
+  Scenario: a node counts a violation when it receives heartbeats of control but lags behind the feed
+    Given a node at feed index 7 that receives a heartbeat of control at the same index every 0.3 s
+    When control reaches feed index 8 and the node follows 1.9 s later
+    Then the node counts 0 feed violations
+    When control reaches feed index 9, and is silent for 5 s before the node follows
+    Then the node counts 0 feed violations
+    When control reaches feed index 10, and the node does not follow for 2.5 s
+    Then the node counts 1 feed violations
 
   Scenario Outline: after <changes> changes of <routes> routes each control machine in turn is restarted, wiped, replaced
     Given a control group of 3 with 2 storage machines and an access machine, and <changes> changes of <routes> routes, one after another
--- a/features/steps/feed-progress.ts
+++ b/features/steps/feed-progress.ts
@@ -1,3 +1,4 @@
+/** The invariant that the feed keeps up with control, in virtual time. */
 import { equal } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { FeedProgress } from "@chutewick/data";
@@ -6,53 +7,59 @@
 interface World {
   progress: FeedProgress;
   now: number;
-  /** Place of the node in the feed. */
-  reached: number;
+  /** Feed index of the node. */
+  ownIndex: number;
 }
 
-function hears(world: World, place: number): void {
+function receiveHeartbeat(world: World, feedIndex: number): void {
   world.now += constants.sessionEvery;
-  world.progress.heard(place, world.reached, world.now);
+  world.progress.heard(feedIndex, world.ownIndex, world.now);
 }
 
-function hearsFor(world: World, place: number, seconds: number): void {
+function receiveHeartbeatsFor(world: World, feedIndex: number, seconds: number): void {
   const end = world.now + seconds * 1_000;
-  while (world.now + constants.sessionEvery <= end) hears(world, place);
+  while (world.now + constants.sessionEvery <= end) receiveHeartbeat(world, feedIndex);
 }
 
-function inStep(this: World, place: number): void {
+function givenUpToDateNode(this: World, feedIndex: number): void {
   this.progress = new FeedProgress();
   this.now = 0;
-  this.reached = place;
-  hearsFor(this, place, 3);
+  this.ownIndex = feedIndex;
+  receiveHeartbeatsFor(this, feedIndex, 3);
 }
 Given(
-  "a node that hears each 0.3 s that control stands at place {int}, and stands there too",
-  inStep,
+  "a node at feed index {int} that receives a heartbeat of control at the same index every 0.3 s",
+  givenUpToDateNode,
 );
 
-function takenLater(this: World, place: number, seconds: number): void {
-  hearsFor(this, place, seconds);
-  this.reached = place;
-  hearsFor(this, place, 3);
+function nodeCatchesUpLater(this: World, feedIndex: number, seconds: number): void {
+  receiveHeartbeatsFor(this, feedIndex, seconds);
+  this.ownIndex = feedIndex;
+  receiveHeartbeatsFor(this, feedIndex, 3);
 }
-When("control goes on to place {int} and the node takes it {float} s later", takenLater);
+When("control reaches feed index {int} and the node follows {float} s later", nodeCatchesUpLater);
 
-function silent(this: World, place: number, seconds: number): void {
-  hears(this, place);
+function controlFallsSilent(this: World, feedIndex: number, seconds: number): void {
+  receiveHeartbeat(this, feedIndex);
   this.now += seconds * 1_000;
-  hears(this, place);
-  this.reached = place;
-  hearsFor(this, place, 3);
+  receiveHeartbeat(this, feedIndex);
+  this.ownIndex = feedIndex;
+  receiveHeartbeatsFor(this, feedIndex, 3);
 }
-When("control goes on to place {int}, and is silent for {int} s before the node takes it", silent);
+When(
+  "control reaches feed index {int}, and is silent for {int} s before the node follows",
+  controlFallsSilent,
+);
 
-function staysBehind(this: World, place: number, seconds: number): void {
-  hearsFor(this, place, seconds);
+function nodeStaysBehind(this: World, feedIndex: number, seconds: number): void {
+  receiveHeartbeatsFor(this, feedIndex, seconds);
 }
-When("control goes on to place {int}, and the node does not take it for {float} s", staysBehind);
+When(
+  "control reaches feed index {int}, and the node does not follow for {float} s",
+  nodeStaysBehind,
+);
 
-function counts(this: World, violations: number): void {
+function hasViolations(this: World, violations: number): void {
   equal(this.progress.violations, violations);
 }
-Then("the node counts {int} violations", counts);
+Then("the node counts {int} feed violations", hasViolations);
--- a/features/steps/stop-phases.ts
+++ b/features/steps/stop-phases.ts
@@ -5,28 +5,31 @@
 import { constants } from "@chutewick/parts";
 
 interface World {
-  /** ms. First look at which each phase was seen. */
+  /** Time in ms at which each phase was first observed. */
   phases: Map<StopPhase, number>;
 }
 
-function aStop(this: World, within: number, work: number): void {
-  const stop = new PlannedStop(stopTimes(within, true), 0);
+function givenStop(this: World, stopWithinMs: number, workEndsAt: number): void {
+  const stop = new PlannedStop(stopTimes(stopWithinMs, true), 0);
   this.phases = new Map();
-  for (let now = 0; now <= within; now += constants.beatEvery) {
-    const phase = stop.advance(now, now < work ? 1 : 0);
+  for (let now = 0; now <= stopWithinMs; now += constants.beatEvery) {
+    const phase = stop.advance(now, now < workEndsAt ? 1 : 0);
     if (!this.phases.has(phase)) this.phases.set(phase, now);
   }
 }
-Given("a stop within {int} ms of a node with work under way until {int} ms after it began", aStop);
+Given(
+  "a stop within {int} ms of a node with work in progress until {int} ms after it began",
+  givenStop,
+);
 
-function hasPhases(this: World, refuses: number, last: string, closed: number): void {
+function hasPhases(this: World, refusesAt: number, lastAnswersAt: string, closedAt: number): void {
   const { phases } = this;
   equal(phases.get("taking"), 0);
-  equal(phases.get("refusing"), refuses);
-  equal(phases.get("last-answers"), last === "never" ? undefined : Number(last));
-  equal(phases.get("closed"), closed);
+  equal(phases.get("refusing"), refusesAt);
+  equal(phases.get("last-answers"), lastAnswersAt === "never" ? undefined : Number(lastAnswersAt));
+  equal(phases.get("closed"), closedAt);
 }
 Then(
-  "it refuses new requests from {int} ms, gives last answers from {word} and is closed at {int}",
+  "it rejects new requests from {int} ms, sends last replies from {word} and is closed at {int}",
   hasPhases,
 );
