--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -8,7 +8,7 @@
   type PassEvent,
   type PassOutput,
   type PassWork,
-  type Standing,
+  type NodeIdentity,
 } from "@chutewick/data";
 import {
   Sessions,
@@ -69,7 +69,7 @@
   signs: { address: string; late: number; usual: number };
 }
 
-const standing: Standing = {
+const standing: NodeIdentity = {
   identity: "node-1",
   address: "here:1",
   kind: "access",
