--- a/features/steps/calls-node.ts
+++ b/features/steps/calls-node.ts
@@ -13,7 +13,7 @@
   type PassEvent,
   type PassRequest,
   type PassOutput,
-  type NodeIdentity,
+  type Standing,
 } from "@chutewick/data";
 import { callerLimits, policy, type RunnerRegistry, type RunnerCard } from "@chutewick/parts";
 import { PlatformAccess, PlatformDialect } from "@chutewick/platform";
@@ -42,7 +42,7 @@
   }
 }
 
-const standing: NodeIdentity = {
+const standing: Standing = {
   identity: "node-1",
   address: "here:1",
   kind: "access",
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -8,7 +8,7 @@
   type PassEvent,
   type PassOutput,
   type PassWork,
-  type NodeIdentity,
+  type Standing,
 } from "@chutewick/data";
 import {
   Sessions,
@@ -69,7 +69,7 @@
   signs: { address: string; late: number; usual: number };
 }
 
-const standing: NodeIdentity = {
+const standing: Standing = {
   identity: "node-1",
   address: "here:1",
   kind: "access",
--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -9,7 +9,7 @@
 import type { PassEvent } from "./dialect.js";
 import { LiveRequests } from "./live-requests.js";
 import { LotRequests } from "./lot-requests.js";
-import { Membership, type NodeIdentity } from "./membership.js";
+import { Membership, type Standing } from "./membership.js";
 import { PassLots } from "./pass-lots.js";
 import { PendingCalls } from "./pending-calls.js";
 import { PromptDispatcher } from "./prompt-dispatcher.js";
@@ -49,7 +49,7 @@
   /** Requests that began to run, by window and tenant (§14.2). */
   readonly usage: AccessUsage;
   readonly counts: AccessCounts = newAccessCounts();
-  #standing: NodeIdentity;
+  #standing: Standing;
   #pendingCalls: PendingCalls;
   #controlCalls: ControlCalls;
   #admission: Admission;
@@ -61,7 +61,7 @@
   #now: number;
 
   constructor(
-    standing: NodeIdentity,
+    standing: Standing,
     seeds: readonly string[],
     now: number,
     chosen: Policy = policy.usual,
@@ -136,7 +136,7 @@
         if (!this.membership.receive(message, from, now)) return [];
         this.#dispatcher.endPauses();
         this.lots.dispatcher.endPauses();
-        return this.membership.sendHeartbeats(now);
+        return this.membership.tell(now);
       case "lease":
         this.usage.heardLease(from, message, now);
         this.membership.receive(message, from, now);
@@ -150,13 +150,13 @@
         return [];
       case "fellow-ask":
       case "fellow-tell":
-        return this.membership.receiveFromPeer(message, from, now);
+        return this.membership.peer(message, from, now);
       case "queue-result":
         return this.#queueResult(message, now);
       case "lot-ended":
         return this.lots.dropped(message.lot, now);
       case "control-result":
-        return this.#controlCalls.handleOutcome(message.ticket, message.outcome, now);
+        return this.#controlCalls.ended(message.ticket, message.outcome, now);
       default:
         return [];
     }
@@ -176,10 +176,10 @@
     this.#now = now;
     this.#lotRequests.observeWallClock(wallClock);
     const outputs: AccessOutput[] = [
-      ...this.membership.tick(now),
+      ...this.membership.beat(now),
       ...this.#pendingCalls.beat(now),
       ...this.#controlCalls.beat(now),
-      ...this.usage.beat(now, wallClock, this.membership.heartbeatSentAt === now),
+      ...this.usage.beat(now, wallClock, this.membership.toldAt === now),
     ];
     this.#registrations.beat(now);
     outputs.push(...this.#dispatcher.beat(now));
@@ -272,7 +272,7 @@
       zone: this.#standing.zone,
       place: this.membership.follower.place,
       configuration: this.membership.configuration.mark,
-      leaseLeft: Math.round(this.membership.remainingLeaseMs(now)),
+      leaseLeft: Math.round(this.membership.leaseLeft(now)),
       live: this.#liveRequests.size,
       gos: this.#attempts.size,
       counts: {
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -35,7 +35,7 @@
 import { PassCallers } from "./caller-delivery.js";
 import type { PassEvent, PassRequest, RunnerDialect } from "./dialect.js";
 import type { ErrorBody } from "./error-reply.js";
-import { RunnerConnections } from "./link.js";
+import { Links } from "./link.js";
 import { MembershipLog } from "./membership-log.js";
 import { ownDialect } from "./own-dialect.js";
 import { PassConnections } from "./pass-link.js";
@@ -74,7 +74,7 @@
   #core: AccessCore;
   #wire: Wire;
   #gateway: Gateway;
-  #links: RunnerConnections;
+  #links: Links;
   #beat = new Beat({ isIdle: () => this.#isIdle });
   #waiting = new Map<string, ServerResponse>();
   #passing = new PassCallers();
@@ -119,7 +119,7 @@
       monotonic(),
       configured.policyOf(settings),
     );
-    this.#links = new RunnerConnections(mayStart, told);
+    this.#links = new Links(mayStart, told);
     function mayPass(go: number): string | undefined {
       return self.#core.mayPass(go, monotonic());
     }
@@ -182,12 +182,12 @@
   }
 
   #logStanding(now: number): void {
-    const changed = this.#membershipLog.reportIfChanged(now);
+    const changed = this.#membershipLog.changed(now);
     if (changed !== undefined) this.#log.info(changed, "standing with control changed");
   }
 
   #logRefusal({ status, reason }: Extract<PassOutput, { kind: "pass-refused" }>): void {
-    const standing = this.#membershipLog.reportIfRejected(status, monotonic());
+    const standing = this.#membershipLog.refused(status, monotonic());
     if (standing !== undefined)
       this.#log.info({ status, reason, ...standing }, "a caller was refused by the configuration");
   }
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -1,7 +1,7 @@
 import { constants, type RunnerCard } from "@chutewick/parts";
 import { ChoiceCounts } from "./choice-counts.js";
 import type { FleetView } from "./fleet-view.js";
-import type { NodeIdentity } from "./membership.js";
+import type { Standing } from "./membership.js";
 import type { PassRequest } from "./dialect.js";
 
 /** Which runner a work goes to (docs/design.md §13.4). Learnt from own traffic, and shared between nodes by their sessions. */
@@ -92,7 +92,7 @@
 export class Choice {
   readonly counts = new ChoiceCounts();
   #fleet: FleetView;
-  #standing: NodeIdentity;
+  #standing: Standing;
   #go = 0;
   #gos = new Map<number, Go>();
   /** By runner and life. */
@@ -108,7 +108,7 @@
   #chance: number;
   #openConnections: (address: string) => number = none;
 
-  constructor(fleet: FleetView, standing: NodeIdentity) {
+  constructor(fleet: FleetView, standing: Standing) {
     this.#fleet = fleet;
     this.#standing = standing;
     this.#chance = (hashOf(standing.identity) | 1) >>> 0;
--- a/packages/data/src/membership.ts
+++ b/packages/data/src/membership.ts
@@ -28,10 +28,10 @@
 
 import { FeedProgress } from "./feed-progress.js";
 import { heartbeatInterval } from "./heartbeat-interval.js";
-import { SentRequests } from "./recent-asks.js";
+import { RecentAsks } from "./recent-asks.js";
 
 /** Identity and addresses of a node of the data plane. */
-export interface NodeIdentity {
+export interface Standing {
   readonly identity: string;
   readonly address: string;
   readonly kind: "access" | "storage";
@@ -49,7 +49,7 @@
 }
 
 /** What entitles a node to accept new work and to give definite answers: its lease, a permit of its peers, or nothing. */
-export type WorkAuthorization = "lease" | "permit" | "none";
+export type WorkGround = "lease" | "permit" | "none";
 
 /** Membership state of a node at one moment, for the log. */
 export interface MembershipReport {
@@ -58,7 +58,7 @@
   /** Feed index: the last entry of the feed that the node has applied. */
   readonly place: number;
   /** What entitles the node to accept new work. */
-  readonly ground: WorkAuthorization;
+  readonly ground: WorkGround;
   /** Epoch of the newest view of the control group that the node knows. */
   readonly view: number | undefined;
   /** Control machines whose leases are valid. */
@@ -75,7 +75,7 @@
   readonly follower = new Follower();
   readonly feedProgress = new FeedProgress();
   #lease = new Lease();
-  #node: NodeIdentity;
+  #node: Standing;
   #controls: Set<string>;
   #seeds: readonly string[];
   #registry: RunnerRegistry = { nodes: [], runners: [] };
@@ -85,9 +85,9 @@
   /** When the last heartbeat was sent that a control machine answered, by its identity; in ms, monotonic. */
   #answeredAt = new Map<string, number>();
   /** Heartbeats sent to control. */
-  readonly #sentHeartbeats = new SentRequests();
+  readonly #sentHeartbeats = new RecentAsks();
   /** Requests for permits sent to peers. */
-  readonly #sentPermitRequests = new SentRequests();
+  readonly #sentPermitRequests = new RecentAsks();
   /** Newest report of each runner that did not come with the registry of control. */
   #reportedRunners = new Map<string, { card: RunnerCard; heardAt: number }>();
   #permitRequestedAt = Number.NEGATIVE_INFINITY;
@@ -108,7 +108,7 @@
   #policy: Policy;
 
   constructor(
-    node: NodeIdentity,
+    node: Standing,
     seeds: readonly string[],
     now: number,
     createReport: () => Telling,
@@ -137,7 +137,7 @@
     return this.#node.zone;
   }
   /** When the last heartbeats were sent; in ms, monotonic. */
-  get heartbeatSentAt(): number {
+  get toldAt(): number {
     return this.#heartbeatSentAt;
   }
   /** The newest registry of nodes and runners from control. */
@@ -156,13 +156,13 @@
   /** Announces that this node is leaving, so that control transfers its work to other nodes. */
   leave(now: number): Send[] {
     this.#isLeaving = true;
-    return this.sendHeartbeats(now);
+    return this.tell(now);
   }
 
   /** Takes back the announcement that this node is leaving. */
-  cancelLeave(now: number): Send[] {
+  stay(now: number): Send[] {
     this.#isLeaving = false;
-    return this.sendHeartbeats(now);
+    return this.tell(now);
   }
 
   /** Whether the node may accept new work now: it holds a lease or a permit. */
@@ -189,7 +189,7 @@
   }
 
   /** What entitles the node to accept new work now. */
-  ground(now: number): WorkAuthorization {
+  ground(now: number): WorkGround {
     if (!this.holds(now)) return "none";
     return this.#lease.holds(now, this.follower.place) ? "lease" : "permit";
   }
@@ -208,7 +208,7 @@
   }
 
   /** Whether a majority of the control group answered recent heartbeats; true while no view is known. */
-  hasQuorumContact(now: number): boolean {
+  isNear(now: number): boolean {
     const view = this.#lease.view;
     if (view === undefined) return true;
     let answered = 0;
@@ -225,10 +225,9 @@
   }
 
   /** Handles a permit request or a reply from a peer while control is unreachable (docs/design.md §7.4). */
-  receiveFromPeer(message: PeerMessage, from: string, now: number): Send[] {
+  peer(message: PeerMessage, from: string, now: number): Send[] {
     if (message.kind === "fellow-ask") {
-      const promises =
-        !this.#policy.goesOnAlone && this.#hasHeldLease && !this.hasQuorumContact(now);
+      const promises = !this.#policy.goesOnAlone && this.#hasHeldLease && !this.isNear(now);
       if (promises) this.#promisedUntil = now + constants.permitLasts;
       return [
         {
@@ -247,9 +246,8 @@
     }
     // The reply was sent after the request, so its ages count from the request at the latest.
     if (this.#sentPermitRequests.includes(message.askedAt))
-      for (const card of message.runners) this.recordRunnerReport(card, message.askedAt - card.age);
-    for (const [runner, incarnation] of message.closed)
-      this.applyDeregistration(runner, incarnation);
+      for (const card of message.runners) this.heardRunner(card, message.askedAt - card.age);
+    for (const [runner, incarnation] of message.closed) this.close(runner, incarnation);
     if (message.askedAt !== this.#permitRequestedAt || !message.promises) return [];
     // A peer with a higher feed index shows that a change was committed that this node has not received.
     if (message.place > this.follower.place) {
@@ -273,9 +271,9 @@
   }
 
   /** Sends the deregistrations that came here to all nodes at once, before control has committed them (docs/design.md §7.5). */
-  broadcastDeregistrations(): Send[] {
+  spread(): Send[] {
     const recipients = new Set<string>(this.#peers);
-    for (const card of this.liveNodes("access")) recipients.add(card.address);
+    for (const card of this.live("access")) recipients.add(card.address);
     recipients.delete(this.address);
     const sends: Send[] = [];
     for (const to of recipients)
@@ -299,14 +297,14 @@
     if (this.#policy.goesOnAlone) return [];
     const peers = this.#peers;
     if (
-      this.hasQuorumContact(now) ||
+      this.isNear(now) ||
       !this.#hasHeldLease ||
       !peers.includes(this.address) ||
       now - this.#permitRequestedAt < constants.sessionEvery
     )
       return [];
     this.#permitRequestedAt = now;
-    this.#sentPermitRequests.recordSent(now);
+    this.#sentPermitRequests.asked(now);
     this.#promisedUntil = now + constants.permitLasts;
     this.#promisingPeers = new Set([this.address]);
     const sends: Send[] = [];
@@ -321,7 +319,7 @@
   }
 
   /** Remaining duration of the lease in ms. */
-  remainingLeaseMs(now: number): number {
+  leaseLeft(now: number): number {
     return Math.max(0, this.#lease.until(this.follower.place) - now);
   }
 
@@ -337,19 +335,19 @@
   }
 
   /** Applies a deregistration on this node at once, before control has committed it. */
-  applyDeregistration(runner: string, incarnation: number): void {
+  close(runner: string, incarnation: number): void {
     this.#closedHere.set(runner, Math.max(incarnation, this.#closedHere.get(runner) ?? 0));
   }
 
   /** Records a report of a runner that did not come with the registry of control. */
-  recordRunnerReport(card: RunnerCard, heardAt: number): void {
+  heardRunner(card: RunnerCard, heardAt: number): void {
     const held = this.#reportedRunners.get(card.id);
     if (held === undefined || isNewerWord(card, heardAt, held.card, held.heardAt))
       this.#reportedRunners.set(card.id, { card, heardAt });
   }
 
   /** Whether an incarnation of a runner has a recent report and is not deregistered; checked again before the first byte is sent. */
-  isRunnerLive(runner: string, incarnation: number, now: number): boolean {
+  isStanding(runner: string, incarnation: number, now: number): boolean {
     const held = this.#newestReport(runner, now);
     return (
       held !== undefined &&
@@ -380,7 +378,7 @@
    * it knew: those that went since are unreachable, or answer that they are another incarnation (docs/design.md §13.4).
    */
   #runnerTimeoutMs(now: number): number {
-    const isIsolated = this.#policy.goesOnAlone && !this.hasQuorumContact(now);
+    const isIsolated = this.#policy.goesOnAlone && !this.isNear(now);
     return isIsolated ? this.#runnerRetentionMs : this.#policy.runnerLasts;
   }
 
@@ -404,7 +402,7 @@
   }
 
   /** The nodes of a kind that are in session and not leaving. */
-  liveNodes(kind: NodeCard["kind"]): NodeCard[] {
+  live(kind: NodeCard["kind"]): NodeCard[] {
     const found: NodeCard[] = [];
     for (const { card, age } of this.#registry.nodes)
       if (card.kind === kind && !card.leaving && age <= constants.sessionLasts) found.push(card);
@@ -417,7 +415,7 @@
       return this.follower.receive(message);
     // New reports of runners. Their ages count from now: control commits a deregistration before it reports it (docs/design.md §13.8).
     if (message.kind === "runners")
-      for (const card of message.runners) this.recordRunnerReport(card, now - card.age);
+      for (const card of message.runners) this.heardRunner(card, now - card.age);
     // This is no evidence of contact: the sender does not receive this node's heartbeats.
     if (message.kind === "controls")
       for (const address of message.addresses) this.#controls.add(address);
@@ -427,7 +425,7 @@
 
   /** Handles an answer of control to a heartbeat: a lease, the registry and the addresses of control. */
   #receiveLease(message: LeaseMessage, from: string, now: number): void {
-    this.feedProgress.recordHeartbeat(message.place, this.follower.place, now);
+    this.feedProgress.heard(message.place, this.follower.place, now);
     this.#learnControls(message);
     const { identity, view, place, roll, stamp } = message;
     const answered = message.answers ?? message.askedAt;
@@ -477,9 +475,9 @@
   }
 
   /** Sends a heartbeat with the state of this node to each known control machine. */
-  sendHeartbeats(now: number): Send[] {
+  tell(now: number): Send[] {
     this.#heartbeatSentAt = now;
-    this.#sentHeartbeats.recordSent(now);
+    this.#sentHeartbeats.asked(now);
     const card: NodeCard = {
       ...this.#node,
       place: this.follower.place,
@@ -504,13 +502,13 @@
   }
 
   /** Sends what is due: heartbeats to control and permit requests to peers. */
-  tick(now: number): Send[] {
+  beat(now: number): Send[] {
     const permitRequests = this.#requestPermit(now);
     // Control is informed as soon as a promise has ended.
     const promiseEnded = this.#heartbeatSentAt < this.#promisedUntil && now >= this.#promisedUntil;
     return now - this.#heartbeatSentAt >= heartbeatInterval(this.#registry.nodes.length) ||
       promiseEnded
-      ? [...permitRequests, ...this.sendHeartbeats(now)]
+      ? [...permitRequests, ...this.tell(now)]
       : permitRequests;
   }
 }
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -115,7 +115,7 @@
     const passage = this.#passage(job.task.way);
     if (passage === undefined || !configuration.poolsOf(passage).includes(pool))
       return "its passage is gone, or leads elsewhere";
-    if (!this.#membership.isRunnerLive(runner, incarnation, now))
+    if (!this.#membership.isStanding(runner, incarnation, now))
       return "the runner said goodbye, or was not heard of lately";
     return undefined;
   }
--- a/packages/data/src/prompt-dispatcher.ts
+++ b/packages/data/src/prompt-dispatcher.ts
@@ -128,7 +128,7 @@
   #drawFromQueues(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     const accessNodes: string[] = [];
-    for (const card of this.#membership.liveNodes("access")) accessNodes.push(card.identity);
+    for (const card of this.#membership.live("access")) accessNodes.push(card.identity);
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
       if (configuration.isPoolQueue(queue)) continue;
--- a/packages/data/src/runner-registrations.ts
+++ b/packages/data/src/runner-registrations.ts
@@ -43,7 +43,7 @@
     if (this.#sleep.awakeFor(now) < constants.wakingLasts) return [announceElsewhere(ticket)];
     const card: RunnerCard = { ...announced, age: 0 };
     this.#announcements.set(card.id, { card, heardAt: now });
-    this.#membership.recordRunnerReport({ ...card }, now);
+    this.#membership.heardRunner({ ...card }, now);
     /** One that is cut off can pass nothing on: the runner is to tell another as well. */
     if (!this.#admission.isOpen(now)) return [announceElsewhere(ticket)];
     const body = { announceEvery: constants.announceEvery };
@@ -66,7 +66,7 @@
 
   /** The runner is told of success only once control has confirmed that no node sends it new work. */
   deregister(ticket: string, runner: string, incarnation: number, now: number): AccessOutput[] {
-    this.#membership.applyDeregistration(runner, incarnation);
+    this.#membership.close(runner, incarnation);
     const announced = this.#announcements.get(runner)?.card.incarnation;
     if (announced !== undefined && announced <= incarnation) this.#announcements.delete(runner);
     function onResult(outcome: ControlOutcome): AccessOutput[] {
@@ -82,10 +82,7 @@
       ];
     }
     const command = { kind: "goodbye", runner, incarnation } as const;
-    return [
-      ...this.#membership.broadcastDeregistrations(),
-      ...this.#controlCalls.request(command, onResult, now),
-    ];
+    return [...this.#membership.spread(), ...this.#controlCalls.ask(command, onResult, now)];
   }
 
   /** Forgets runners that were not heard of lately. */
--- a/packages/data/src/storage-core.ts
+++ b/packages/data/src/storage-core.ts
@@ -23,7 +23,7 @@
 } from "@chutewick/parts";
 import { keys, standingClasses, type QueueStanding } from "@chutewick/control";
 import { ClaimHeartbeats } from "./claim-heartbeats.js";
-import { Membership, type NodeIdentity } from "./membership.js";
+import { Membership, type Standing } from "./membership.js";
 import { governed, isGoverned, type GovernedCommand } from "./queue-governance.js";
 import type { DataMessage, QueueOutcome } from "./queue-messages.js";
 import { QueueRefusals } from "./queue-refusals.js";
@@ -95,7 +95,7 @@
 /** The queues of one storage machine and its membership in the fleet. */
 export class StorageCore {
   readonly membership: Membership;
-  #node: NodeIdentity;
+  #node: Standing;
   #partitions = new Map<string, Partition>();
   #pendingCommands = new Map<string, PendingCommand>();
   #ticketNumber = 0;
@@ -103,7 +103,7 @@
   #isStopping = false;
 
   constructor(
-    node: NodeIdentity,
+    node: Standing,
     seeds: readonly string[],
     persistedChains: ReadonlyMap<string, ChainHolding>,
     now: number,
@@ -186,7 +186,7 @@
       case "feed":
       case "feed-digest": {
         if (!this.membership.receive(message, from, now)) return [];
-        return [...this.#adoptViews(now), ...this.membership.sendHeartbeats(now)];
+        return [...this.#adoptViews(now), ...this.membership.tell(now)];
       }
       case "lease":
       case "controls":
@@ -194,7 +194,7 @@
         return [];
       case "fellow-ask":
       case "fellow-tell":
-        return this.membership.receiveFromPeer(message, from, now);
+        return this.membership.peer(message, from, now);
       case "queue-inquiry":
         return this.#handleCommand(
           message.ticket,
@@ -477,7 +477,7 @@
   }
 
   /** Periodic work: timeouts, held commands, the owner's checks and heartbeats. */
-  tick(now: number): StorageOutput[] {
+  beat(now: number): StorageOutput[] {
     this.#now = now;
     const outputs: StorageOutput[] = [];
     for (const partition of this.#partitions.values()) {
@@ -485,7 +485,7 @@
       outputs.push(...this.#answerHeldCommands(partition, now));
       if (partition.chain.serves) outputs.push(...this.#runOwnerChecks(partition, now));
     }
-    outputs.push(...this.membership.tick(now));
+    outputs.push(...this.membership.beat(now));
     return outputs;
   }
 
@@ -619,7 +619,7 @@
   diskChanged(condition: DiskCondition, now: number): StorageOutput[] {
     this.#disk = condition;
     if (this.#isStopping) return [];
-    return this.#isWritable ? this.membership.cancelLeave(now) : this.membership.leave(now);
+    return this.#isWritable ? this.membership.stay(now) : this.membership.leave(now);
   }
 
   get #isWritable(): boolean {
@@ -633,7 +633,7 @@
   }
 
   /** Number of queues whose chain this machine is still a member of. */
-  get memberQueueCount(): number {
+  get held(): number {
     let count = 0;
     for (const { chain } of this.#partitions.values()) if (chain.position >= 0) count += 1;
     return count;
@@ -658,7 +658,7 @@
       identity: this.#node.identity,
       zone: this.#node.zone,
       place: this.membership.follower.place,
-      leaseLeft: Math.round(this.membership.remainingLeaseMs(now)),
+      leaseLeft: Math.round(this.membership.leaseLeft(now)),
       disk: this.#disk,
       queues,
     };
--- a/packages/data/src/storage-service.ts
+++ b/packages/data/src/storage-service.ts
@@ -87,7 +87,7 @@
     if (failure !== undefined) return outcome.bad(failure);
     function tick(now: number): void {
       dataFolder.beat(now);
-      storageProcess.#perform(storageProcess.#core.tick(now));
+      storageProcess.#perform(storageProcess.#core.beat(now));
       storageProcess.#wire.beat(now);
     }
     storageProcess.#timer.start(tick);
@@ -102,12 +102,12 @@
 
   /** Planned stop: first transfers the queues to other machines, within a bound of time, then closes everything. */
   async close(): Promise<void> {
-    const { memberQueueCount: held } = this.#core;
+    const { held } = this.#core;
     this.#perform(this.#core.leave(monotonic()));
     const self = this;
     const deadline = monotonic() + constants.handOverPatience;
     function isHandoverDone(): boolean {
-      return self.#core.memberQueueCount === 0 || monotonic() > deadline;
+      return self.#core.held === 0 || monotonic() > deadline;
     }
     if (held > 0) await settled(isHandoverDone);
     await this.#gateway.close();
--- a/packages/data/src/warm-up/warm-up.ts
+++ b/packages/data/src/warm-up/warm-up.ts
@@ -10,7 +10,7 @@
 import { isForCaller, PassCallers } from "../caller-delivery.js";
 import { Choice } from "../choice.js";
 import type { PassEvent, PassRequest, RunnerDialect } from "../dialect.js";
-import type { NodeIdentity } from "../membership.js";
+import type { Standing } from "../membership.js";
 import { PassConnections } from "../pass-link.js";
 import type { PassOutput } from "../pass.js";
 import { RelayCore } from "../relay-core.js";
@@ -33,7 +33,7 @@
 /** ms. Between two calls, so that the node's own messages are not held up. */
 const PAUSE = 2;
 
-const standing: NodeIdentity = {
+const standing: Standing = {
   identity: "warm-up",
   address: LOOPBACK_FREE_PORT,
   kind: "access",
