--- a/packages/data/src/membership.ts
+++ b/packages/data/src/membership.ts
@@ -94,7 +94,7 @@
   #promisingPeers = new Set<string>();
   #permitUntil = Number.NEGATIVE_INFINITY;
   /** Whether a lease was held in this incarnation. Only from then on does the node know all earlier committed changes (docs/design.md §7.4). */
-  #hasHeldLease = false;
+  #hadLease = false;
   /**
    * Until when a promise to a peer binds this node: it accepts no changes from control and gets no lease. Set at the start, because an
    * earlier incarnation may have promised.
@@ -227,7 +227,7 @@
   /** Handles a permit request or a reply from a peer while control is unreachable (docs/design.md §7.4). */
   peer(message: PeerMessage, from: string, now: number): Send[] {
     if (message.kind === "fellow-ask") {
-      const promises = !this.#policy.goesOnAlone && this.#hasHeldLease && !this.isNear(now);
+      const promises = !this.#policy.goesOnAlone && this.#hadLease && !this.isNear(now);
       if (promises) this.#promisedUntil = now + constants.permitLasts;
       return [
         {
@@ -298,7 +298,7 @@
     const peers = this.#peers;
     if (
       this.isNear(now) ||
-      !this.#hasHeldLease ||
+      !this.#hadLease ||
       !peers.includes(this.address) ||
       now - this.#permitRequestedAt < constants.sessionEvery
     )
@@ -403,10 +403,10 @@
 
   /** The nodes of a kind that are in session and not leaving. */
   live(kind: NodeCard["kind"]): NodeCard[] {
-    const found: NodeCard[] = [];
+    const live: NodeCard[] = [];
     for (const { card, age } of this.#registry.nodes)
-      if (card.kind === kind && !card.leaving && age <= constants.sessionLasts) found.push(card);
-    return found;
+      if (card.kind === kind && !card.leaving && age <= constants.sessionLasts) live.push(card);
+    return live;
   }
 
   /** Handles a message from control; returns true if the feed brought something new. */
@@ -435,7 +435,7 @@
     if (!isUnspecified && !this.#sentHeartbeats.includes(answered)) return;
     this.#recordAnswer(identity, isUnspecified ? now : answered);
     this.#lease.granted(identity, view, message.askedAt, place);
-    this.#hasHeldLease ||= this.#lease.holds(now, this.follower.place);
+    this.#hadLease ||= this.#lease.holds(now, this.follower.place);
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
     // Ages in the registry count from the request: it was sent later, but this node or the message may have been delayed since.
     if (roll.nodes.length === 0 || message.askedAt < this.#registryRequestedAt) return;
@@ -461,14 +461,14 @@
    * A newer registry, completed by runners of the current one that it lacks or has an older report of: a control machine that has just
    * started, or was cut off, does not know all of them. They are kept until their last report is too old.
    */
-  #mergeRegistry(registry: RunnerRegistry, askedAt: number): RunnerRegistry {
+  #mergeRegistry(registry: RunnerRegistry, sentAt: number): RunnerRegistry {
     const runners = new Map<string, RunnerCard>();
     for (const card of registry.runners) runners.set(card.id, card);
     for (const card of this.#registry.runners) {
-      const aged = { ...card, age: card.age + askedAt - this.#registryRequestedAt };
+      const aged = { ...card, age: card.age + sentAt - this.#registryRequestedAt };
       if (aged.age > this.#runnerRetentionMs) continue;
       const newer = runners.get(card.id);
-      if (newer === undefined || isNewerWord(aged, askedAt - aged.age, newer, askedAt - newer.age))
+      if (newer === undefined || isNewerWord(aged, sentAt - aged.age, newer, sentAt - newer.age))
         runners.set(card.id, aged);
     }
     return { ...registry, runners: [...runners.values()] };
