--- a/packages/control/src/pace.ts
+++ b/packages/control/src/pace.ts
@@ -1,3 +1,4 @@
+/** Plans the quotas of queues: open seasons, shares of the allowances and the throttle level (docs/design.md §8.4, §8.5). */
 import {
   constants,
   policy,
@@ -14,33 +15,38 @@
 import { configuration, type Configuration, type QueuePlan } from "./configuration.js";
 import { standingClasses, type QueueStanding, type StandingClass } from "./machine.js";
 
-/** What the owner of a queue told of the shares that it entered. */
+/** The last report of a queue's owner on the shares that it has put into force. */
 export interface ShareReport {
+  /** Version of the shares that the owner applies. */
   readonly shareMark: number;
-  /** By season: what may still come to wait, and what is needed. */
+  /** By season: the most that may still be waiting (`held`), and the demand (`need`). */
   readonly classes: ReadonlyMap<string, { readonly held: number; readonly need: number }>;
 }
 
-/** All that one plan is worked out from. */
+/** The input of one planning round. */
 export interface Surroundings {
+  /** The configuration in force. */
   readonly value: Configuration;
+  /** Wall-clock time in ms; decides which seasons are open. */
   readonly wall: number;
+  /** Monotonic time in ms. */
   readonly now: number;
   readonly standings: ReadonlyMap<string, QueueStanding>;
-  /** From the owners of queues, as far as they told. */
+  /** By queue; missing for a queue whose owner has not reported yet. */
   readonly reports: ReadonlyMap<string, ShareReport>;
   readonly runners: readonly RunnerCard[];
   readonly access: readonly NodeCard[];
 }
 
-interface Pace {
-  step: number;
-  /** Since when there has been room for more. */
-  roomSince: number | undefined;
+/** The throttle of one model or adapter. */
+interface ThrottleState {
+  level: number;
+  /** Since when (monotonic ms) the free capacity would allow a higher level. */
+  freeCapacitySince: number | undefined;
 }
 
-/** What one season is to hold in one queue. */
-interface Wish {
+/** The share of an allowance that one season is to have in one queue. */
+interface ShareDemand {
   readonly queue: string;
   readonly season: string;
   readonly select: readonly Selector[];
@@ -48,304 +54,327 @@
   readonly wanted: number;
 }
 
-/** A queue with what is to be entered for it, class by class. */
-interface Draft {
+/** The quota that is planned for a queue, class by class. */
+interface QuotaDraft {
   readonly season: string | null;
   readonly base: Limits;
   readonly pace: number;
   readonly classes: StandingClass[];
 }
 
-const all: readonly Selector[] = [];
+/** Selectors that match every lot and every runner. */
+const unrestricted: readonly Selector[] = [];
 
-/** Seasons, shares and pace, worked out by the head of the control chain (docs/design.md §8.4, §8.5). */
+/** Plans the quotas of all queues; runs on the head of the control chain. */
 export class Pacer {
-  #paces = new Map<string, Pace>();
+  #throttles = new Map<string, ThrottleState>();
   #policy: Policy;
 
   constructor(chosen: Policy = policy.usual) {
     this.#policy = chosen;
   }
 
-  /** The changes of standings that are due now. */
-  plan(around: Surroundings): [queue: string, standing: QueueStanding][] {
-    const drafts = new Map<string, Draft>();
-    /** By season, or by queue for what no season selects. */
-    const groups = new Map<string, { allowance: number; wishes: Wish[] }>();
-    const calendar = configuration.seasonsOf(around.value, around.wall);
-    const opened = seasons.opened(calendar, around.wall);
-    function wish(group: string, allowance: number, one: Wish): void {
-      const held = groups.get(group) ?? { allowance, wishes: [] };
-      held.wishes.push(one);
-      groups.set(group, held);
+  /** The queue quotas that have to change now. */
+  plan(context: Surroundings): [queue: string, quota: QueueStanding][] {
+    const drafts = new Map<string, QuotaDraft>();
+    // Grouped by season, or by queue for lots that no season selects.
+    const groups = new Map<string, { allowance: number; demands: ShareDemand[] }>();
+    const calendar = configuration.seasonsOf(context.value, context.wall);
+    const openSeasons = seasons.opened(calendar, context.wall);
+    function addDemand(key: string, allowance: number, demand: ShareDemand): void {
+      const group = groups.get(key) ?? { allowance, demands: [] };
+      group.demands.push(demand);
+      groups.set(key, group);
     }
     const planned = new Set<string>();
-    for (const plan of configuration.queues(around.value, this.#policy)) {
+    for (const plan of configuration.queues(context.value, this.#policy)) {
       const { queue } = plan;
       planned.add(queue);
-      const governing = governingIn(opened, plan, around.value);
-      for (const one of governing.seasons)
-        wish(`season ${one.name}`, one.waiting, {
+      const governing = governingIn(openSeasons, plan, context.value);
+      for (const season of governing.seasons)
+        addDemand(`season ${season.name}`, season.waiting, {
           queue,
-          season: one.name,
-          select: one.select,
-          runners: one.runners,
+          season: season.name,
+          select: season.select,
+          runners: season.runners,
           wanted: 0,
         });
       if (!governing.whole)
-        wish(`queue ${queue}`, plan.waiting, {
+        addDemand(`queue ${queue}`, plan.waiting, {
           queue,
           season: "",
-          select: all,
-          runners: all,
+          select: unrestricted,
+          runners: unrestricted,
           wanted: 0,
         });
-      const deciding = seasons.deciding(calendar, plan.labels, around.wall);
-      const runners = governing.whole && governing.seasons.every(isChoosy) ? governing.seasons : [];
+      const decidingSeason = seasons.deciding(calendar, plan.labels, context.wall);
+      const runnerSeasons =
+        governing.whole && governing.seasons.every(restrictsRunners) ? governing.seasons : [];
       drafts.set(queue, {
         season: governing.seasons[0]?.name ?? null,
-        base: deciding?.limits ?? plan.limits,
-        pace: this.#paceOf(plan.queue, plan.model, plan.adapter, runners, around),
+        base: decidingSeason?.limits ?? plan.limits,
+        pace: this.#throttleLevelOf(plan.queue, plan.model, plan.adapter, runnerSeasons, context),
         classes: [],
       });
     }
-    /** What a queue still holds of seasons that are over, and queues no longer configured, weigh on until they are drained. */
-    for (const [queue, standing] of around.standings) {
+    // Shares of past seasons and of queues that are no longer configured count until they are drained.
+    for (const [queue, quota] of context.standings) {
       if (!drafts.has(queue)) {
         const [model, adapter] = configuration.modelOf(queue);
         drafts.set(queue, {
-          season: standing.season,
-          base: standing.base ?? standing.limits,
-          pace: this.#paceOf(queue, model, adapter, [], around),
+          season: quota.season,
+          base: quota.base ?? quota.limits,
+          pace: this.#throttleLevelOf(queue, model, adapter, [], context),
           classes: [],
         });
       }
-      for (const { season, select, runners, granted } of standingClasses(standing)) {
-        const group = season === "" ? `queue ${queue}` : `season ${season}`;
-        if (groups.get(group)?.wishes.some(isOf, { queue }) === true) continue;
-        /** A class that a draining lot may still be in stays, so that its runners are known. */
+      for (const { season, select, runners, granted } of standingClasses(quota)) {
+        const key = season === "" ? `queue ${queue}` : `season ${season}`;
+        if (groups.get(key)?.demands.some(isForQueue, { queue }) === true) continue;
+        // Keeps a class that a draining lot may still belong to, so that its runners stay known.
         if (granted > 0 || !planned.has(queue))
-          wish(group, 0, { queue, season, select, runners, wanted: 0 });
+          addDemand(key, 0, { queue, season, select, runners, wanted: 0 });
       }
     }
-    for (const { allowance, wishes } of groups.values())
-      settle(share(wishes, allowance, around), allowance, around, drafts);
+    for (const { allowance, demands } of groups.values())
+      grantShares(divideAllowance(demands, allowance, context), allowance, context, drafts);
     const changes: [string, QueueStanding][] = [];
     for (const [queue, draft] of drafts) {
-      const next = entered(around.standings.get(queue), draft);
+      const next = nextQuota(context.standings.get(queue), draft);
       if (next !== undefined) changes.push([queue, next]);
     }
     return changes;
   }
 
-  /** Pools are paced by whoever draws from their queues, who knows what room there is (§13.4). */
-  #paceOf(
+  /**
+   * The throttle level of a queue. Queues of pools are never throttled here: the nodes that dequeue from them know the free
+   * capacity (docs/design.md §13.4).
+   */
+  #throttleLevelOf(
     queue: string,
     model: string,
     adapter: string | undefined,
-    choosy: readonly Season[],
-    around: Surroundings,
+    runnerSeasons: readonly Season[],
+    context: Surroundings,
   ): number {
     return configuration.isPoolQueue(queue)
       ? constants.paceSteps
-      : this.#pace(model, adapter, choosy, around);
+      : this.#throttleLevel(model, adapter, runnerSeasons, context);
   }
 
-  /** Room that live work leaves on the runners of a model, in steps; down at once, up only when it lasts. */
-  #pace(
+  /**
+   * The share of capacity that interactive requests leave free on the runners of a model, as a level. It falls at once and
+   * rises one level at a time, only after the free capacity has lasted.
+   */
+  #throttleLevel(
     model: string,
     adapter: string | undefined,
-    choosy: readonly Season[],
-    around: Surroundings,
+    runnerSeasons: readonly Season[],
+    context: Surroundings,
   ): number {
     const name = configuration.queueOf(model, adapter);
-    const lots = new Map<string, number>();
-    let turnedAway = 0;
-    for (const card of around.access) {
+    const lotLoads = new Map<string, number>();
+    let rejected = 0;
+    for (const card of context.access) {
       for (const [runner, count] of card.telling.lots ?? [])
-        lots.set(runner, (lots.get(runner) ?? 0) + count);
-      for (const [from, count] of card.telling.turnedAway ?? [])
-        if (from === model) turnedAway += count;
+        lotLoads.set(runner, (lotLoads.get(runner) ?? 0) + count);
+      for (const [rejectedModel, count] of card.telling.turnedAway ?? [])
+        if (rejectedModel === model) rejected += count;
     }
-    let seatsOfAll = 0;
-    let free = 0;
-    for (const runner of around.runners) {
+    let totalSlots = 0;
+    let freeSlots = 0;
+    for (const runner of context.runners) {
       if (
         runner.kind !== "model" ||
         !(runner.models.includes(model) || runner.models.includes(name))
       )
         continue;
-      if (choosy.length > 0 && !choosy.some(takes, runner)) continue;
-      const seats = runner.seats * constants.lotPart;
-      seatsOfAll += seats;
+      if (runnerSeasons.length > 0 && !runnerSeasons.some(allowsRunner, runner)) continue;
+      const slots = runner.seats * constants.lotPart;
+      totalSlots += slots;
       if (runner.age <= constants.loadLasts)
-        free += Math.max(0, seats - Math.max(0, runner.burden - (lots.get(runner.id) ?? 0)));
+        freeSlots += Math.max(
+          0,
+          slots - Math.max(0, runner.burden - (lotLoads.get(runner.id) ?? 0)),
+        );
     }
-    const room =
-      seatsOfAll === 0 || turnedAway > 0 ? 0 : Math.min(1, free / seatsOfAll + constants.paceSlack);
-    const step = Math.floor(room * constants.paceSteps);
-    const held = this.#paces.get(name) ?? {
-      step: seatsOfAll === 0 ? constants.paceSteps : step,
-      roomSince: undefined,
+    const freeShare =
+      totalSlots === 0 || rejected > 0
+        ? 0
+        : Math.min(1, freeSlots / totalSlots + constants.paceSlack);
+    const level = Math.floor(freeShare * constants.paceSteps);
+    const state = this.#throttles.get(name) ?? {
+      level: totalSlots === 0 ? constants.paceSteps : level,
+      freeCapacitySince: undefined,
     };
-    this.#paces.set(name, held);
-    if (seatsOfAll === 0) return held.step;
-    if (step <= held.step) {
-      held.step = step;
-      held.roomSince = undefined;
+    this.#throttles.set(name, state);
+    if (totalSlots === 0) return state.level;
+    if (level <= state.level) {
+      state.level = level;
+      state.freeCapacitySince = undefined;
     } else {
-      held.roomSince ??= around.now;
-      if (around.now - held.roomSince >= constants.paceHolds) {
-        held.step += 1;
-        held.roomSince = around.now - constants.paceHolds / 2;
+      state.freeCapacitySince ??= context.now;
+      if (context.now - state.freeCapacitySince >= constants.paceHolds) {
+        state.level += 1;
+        state.freeCapacitySince = context.now - constants.paceHolds / 2;
       }
     }
-    return held.step;
+    return state.level;
   }
 }
 
-/** The seasons that may hold lots of a queue, in the order in which they are asked, and whether they select every lot of it. */
+/** The seasons that may select lots of a queue, in order of precedence, and whether they select every lot of it. */
 export function governingIn(
-  opened: readonly Season[],
+  openSeasons: readonly Season[],
   plan: QueuePlan,
   value: Configuration,
 ): { seasons: Season[]; whole: boolean } {
-  const known: Labels[] = [];
+  const labelSets: Labels[] = [];
   for (const [key, way] of Object.entries(value.ways)) {
     if (way.kind === "lot" && way.model === plan.model && way.adapter === plan.adapter)
-      known.push({ ...way.labels, ...plan.labels, way: key });
+      labelSets.push({ ...way.labels, ...plan.labels, way: key });
   }
-  if (known.length === 0) known.push(plan.labels);
+  if (labelSets.length === 0) labelSets.push(plan.labels);
   const found: Season[] = [];
-  for (const one of opened) {
-    let may = false;
-    let sure = true;
-    for (const labels of known) {
-      may ||= seasons.mayMatch(one.select, labels);
-      sure &&= isSure(one.select, labels);
+  for (const season of openSeasons) {
+    let mayMatch = false;
+    let matchesAll = true;
+    for (const labels of labelSets) {
+      mayMatch ||= seasons.mayMatch(season.select, labels);
+      matchesAll &&= selectsEveryLot(season.select, labels);
     }
-    if (!may) continue;
-    found.push(one);
-    if (sure) return { seasons: found, whole: true };
+    if (!mayMatch) continue;
+    found.push(season);
+    if (matchesAll) return { seasons: found, whole: true };
   }
   return { seasons: found, whole: false };
 }
 
-/** Whether every lot with these labels is selected, whatever labels of its own it brings. */
-function isSure(selectors: readonly Selector[], labels: Labels): boolean {
+/** Whether every lot with these labels is selected, whatever further labels the lot itself has. */
+function selectsEveryLot(selectors: readonly Selector[], labels: Labels): boolean {
   for (const selector of selectors) if (labels[selector.label] === undefined) return false;
   return seasons.matches(selectors, labels);
 }
 
-function isChoosy(one: Season): boolean {
-  return one.runners.length > 0;
+function restrictsRunners(season: Season): boolean {
+  return season.runners.length > 0;
 }
 
-function takes(this: RunnerCard, one: Season): boolean {
-  return seasons.matches(one.runners, this.labels);
+function allowsRunner(this: RunnerCard, season: Season): boolean {
+  return seasons.matches(season.runners, this.labels);
 }
 
-function isOf(this: { queue: string }, wish: Wish): boolean {
-  return wish.queue === this.queue;
+function isForQueue(this: { queue: string }, demand: ShareDemand): boolean {
+  return demand.queue === this.queue;
 }
 
-function paced(base: Limits, pace: number): Limits {
+function throttled(base: Limits, pace: number): Limits {
   return { ...base, tokens: (base.tokens * pace) / constants.paceSteps };
 }
 
-function classIn(around: Surroundings, queue: string, season: string): StandingClass | undefined {
-  for (const each of standingClasses(around.standings.get(queue)))
-    if (each.season === season) return each;
+function classOf(context: Surroundings, queue: string, season: string): StandingClass | undefined {
+  for (const quotaClass of standingClasses(context.standings.get(queue)))
+    if (quotaClass.season === season) return quotaClass;
   return undefined;
 }
 
-/** Cuts an allowance over the queues by need; small moves are not worth an entry, while the sum is right. */
-function share(wishes: readonly Wish[], allowance: number, around: Surroundings): Wish[] {
+/**
+ * Divides an allowance over the queues in proportion to their demand. A small change of a share is dropped, as it is not worth a
+ * log entry, as long as the current shares fit into the allowance.
+ */
+function divideAllowance(
+  demands: readonly ShareDemand[],
+  allowance: number,
+  context: Surroundings,
+): ShareDemand[] {
   const needs: number[] = [];
   let targets = 0;
-  for (const { queue, season } of wishes) {
-    needs.push(around.reports.get(queue)?.classes.get(season)?.need ?? 0);
-    targets += classIn(around, queue, season)?.target ?? 0;
+  for (const { queue, season } of demands) {
+    needs.push(context.reports.get(queue)?.classes.get(season)?.need ?? 0);
+    targets += classOf(context, queue, season)?.target ?? 0;
   }
-  const cuts = seasons.cut(allowance, needs);
-  const found: Wish[] = [];
-  for (const [place, wish] of wishes.entries()) {
-    const held = classIn(around, wish.queue, wish.season);
-    const near =
-      held !== undefined &&
+  const portions = seasons.cut(allowance, needs);
+  const found: ShareDemand[] = [];
+  for (const [index, demand] of demands.entries()) {
+    const current = classOf(context, demand.queue, demand.season);
+    const isSmallChange =
+      current !== undefined &&
       targets <= allowance &&
-      Math.abs(held.target - cuts[place]!) <= allowance / wishes.length / 4 &&
-      wishes.length > 1;
-    found.push({ ...wish, wanted: near ? held.target : cuts[place]! });
+      Math.abs(current.target - portions[index]!) <= allowance / demands.length / 4 &&
+      demands.length > 1;
+    found.push({ ...demand, wanted: isSmallChange ? current.target : portions[index]! });
   }
   return found;
 }
 
-/** Lowers first; raises only by what is surely free: the sum of what may come to wait never passes the allowance. */
-function settle(
-  wishes: readonly Wish[],
+/**
+ * Adds the shares of one group to the drafts. Lowers shares first and raises others only by what is certainly free, so that the
+ * sum of what may be waiting never exceeds the allowance.
+ */
+function grantShares(
+  demands: readonly ShareDemand[],
   allowance: number,
-  around: Surroundings,
-  drafts: ReadonlyMap<string, Draft>,
+  context: Surroundings,
+  drafts: ReadonlyMap<string, QuotaDraft>,
 ): void {
   let committed = 0;
   const granted = new Map<string, number>();
-  for (const { queue, season } of wishes) {
-    const standing = classIn(around, queue, season);
-    if (standing === undefined) continue;
-    const report = around.reports.get(queue);
-    const told = report?.classes.get(season)?.held ?? 0;
+  for (const { queue, season } of demands) {
+    const current = classOf(context, queue, season);
+    if (current === undefined) continue;
+    const report = context.reports.get(queue);
+    const reported = report?.classes.get(season)?.held ?? 0;
     const known =
-      report !== undefined && report.shareMark === around.standings.get(queue)!.shareMark
-        ? Math.max(standing.target, Math.min(standing.granted, told))
-        : standing.granted;
+      report !== undefined && report.shareMark === context.standings.get(queue)!.shareMark
+        ? Math.max(current.target, Math.min(current.granted, reported))
+        : current.granted;
     granted.set(queue, known);
     committed += known;
   }
   let free = Math.max(0, allowance - committed);
-  for (const { queue, season, select, runners, wanted } of wishes) {
-    const has = granted.get(queue) ?? 0;
+  for (const { queue, season, select, runners, wanted } of demands) {
+    const grantedNow = granted.get(queue) ?? 0;
     let target = wanted;
-    let may = has;
-    if (wanted > has) {
-      const more = Math.min(wanted - has, free);
-      free -= more;
-      target = has + more;
-      may = target;
+    let grantedNext = grantedNow;
+    if (wanted > grantedNow) {
+      const increase = Math.min(wanted - grantedNow, free);
+      free -= increase;
+      target = grantedNow + increase;
+      grantedNext = target;
     }
     drafts
       .get(queue)!
-      .classes.push({ season, select, runners, target, granted: Math.max(may, target) });
+      .classes.push({ season, select, runners, target, granted: Math.max(grantedNext, target) });
   }
 }
 
-/** The standing to be entered, or undefined where all is as it stands. */
-function entered(
-  standing: QueueStanding | undefined,
-  { season, base, pace, classes }: Draft,
+/** The next quota of a queue, or undefined if it does not change. */
+function nextQuota(
+  quota: QueueStanding | undefined,
+  { season, base, pace, classes }: QuotaDraft,
 ): QueueStanding | undefined {
-  const limits = paced(base, pace);
+  const limits = throttled(base, pace);
   let target = 0;
   let granted = 0;
-  for (const each of classes) {
-    target += each.target;
-    granted += each.granted;
+  for (const quotaClass of classes) {
+    target += quotaClass.target;
+    granted += quotaClass.granted;
   }
-  if (standing === undefined)
+  if (quota === undefined)
     return { mark: 1, shareMark: 1, season, base, limits, pace, target, granted, classes };
-  const told = shape(classes, false);
+  const shares = serializeClasses(classes, false);
   const sameShare =
-    sameLimits(standing.limits, limits) && told === shape(standingClasses(standing), false);
+    sameLimits(quota.limits, limits) && shares === serializeClasses(standingClasses(quota), false);
   if (
     sameShare &&
-    standing.pace === pace &&
-    standing.season === season &&
-    shape(classes, true) === shape(standingClasses(standing), true)
+    quota.pace === pace &&
+    quota.season === season &&
+    serializeClasses(classes, true) === serializeClasses(standingClasses(quota), true)
   )
     return undefined;
   return {
-    mark: standing.mark + 1,
-    shareMark: standing.shareMark + (sameShare ? 0 : 1),
+    mark: quota.mark + 1,
+    shareMark: quota.shareMark + (sameShare ? 0 : 1),
     season,
     base,
     limits,
@@ -356,7 +385,8 @@
   };
 }
 
-function shape(classes: readonly StandingClass[], withGranted: boolean): string {
+/** Classes as a string, to compare two sets of them. */
+function serializeClasses(classes: readonly StandingClass[], withGranted: boolean): string {
   const rows: unknown[] = [];
   for (const { season, select, runners, target, granted } of classes)
     rows.push([season, select, runners, target, withGranted ? granted : 0]);
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -187,7 +187,7 @@
       {
         file: pace,
         from: "granted.set(queue, known);\n        committed += known;",
-        to: "granted.set(queue, Math.min(known, standing.target));\n        committed += 0;",
+        to: "granted.set(queue, Math.min(known, current.target));\n        committed += 0;",
       },
     ],
   },
