--- a/packages/control/src/calendar.ts
+++ b/packages/control/src/calendar.ts
@@ -1,9 +1,12 @@
+/** Recurring time windows by a cron expression in a named time zone (docs/design.md §8.8). */
 import { constants } from "@chutewick/parts";
 import { Cron } from "croner";
 
-/** Recurring windows by a cron-like calendar in a named zone, through a library (docs/design.md §8.8). */
+/** A recurring window: it opens at the times of a cron expression. */
 export interface Calendar {
+  /** A cron expression of five fields. */
   readonly calendar: string;
+  /** IANA name of the time zone. */
   readonly zone: string;
   readonly lastsMinutes: number;
 }
@@ -14,68 +17,74 @@
   readonly end: number;
 }
 
-const read = new Map<string, Cron>();
+/** Cache of parsed expressions by zone and expression; cleared when it exceeds 1000 entries. */
+const parsed = new Map<string, Cron>();
 
 function cronOf({ calendar, zone }: Calendar): Cron {
   const key = `${zone} ${calendar}`;
-  let cron = read.get(key);
+  let cron = parsed.get(key);
   if (cron === undefined) {
     cron = new Cron(calendar, { timezone: zone, paused: true });
-    if (read.size > 1_000) read.clear();
-    read.set(key, cron);
+    if (parsed.size > 1_000) parsed.clear();
+    parsed.set(key, cron);
   }
   return cron;
 }
 
-/** Why a calendar cannot be used, as path and reason. */
-function refuse(one: Calendar, start: number, end: number): string | undefined {
+/** Why a calendar is invalid, as path and reason; undefined if it is valid. */
+function problemWith(rule: Calendar, start: number, end: number): string | undefined {
   try {
-    new Intl.DateTimeFormat("en", { timeZone: one.zone });
+    new Intl.DateTimeFormat("en", { timeZone: rule.zone });
   } catch {
-    return `zone: ${one.zone} is not a time zone, such as America/Lima`;
+    return `zone: ${rule.zone} is not a time zone, such as America/Lima`;
   }
-  if (one.calendar.trim().split(/\s+/).length !== 5)
+  if (rule.calendar.trim().split(/\s+/).length !== 5)
     return "calendar: must have five fields: minute, hour, day, month, day of the week";
-  let moments: number[];
+  let starts: number[];
   try {
-    moments = startsFrom(one, start - 1, constants.windowsChecked);
+    starts = startsFrom(rule, start - 1, constants.windowsChecked);
   } catch (error) {
     return `calendar: ${(error as Error).message}`;
   }
-  if (moments.length === 0 || moments[0]! >= end)
+  if (starts.length === 0 || starts[0]! >= end)
     return "calendar: never opens between start and end";
-  const lasts = one.lastsMinutes * 60_000;
-  for (const [place, moment] of moments.entries()) {
-    const next = moments[place + 1];
-    if (next !== undefined && next < moment + lasts)
-      return `lastsMinutes: the window of ${new Date(moment).toISOString()} is not over when the next opens, at ${new Date(next).toISOString()}`;
+  const durationMs = rule.lastsMinutes * 60_000;
+  for (const [index, opening] of starts.entries()) {
+    const next = starts[index + 1];
+    if (next !== undefined && next < opening + durationMs)
+      return `lastsMinutes: the window of ${new Date(opening).toISOString()} is not over when the next opens, at ${new Date(next).toISOString()}`;
   }
   return undefined;
 }
 
-function startsFrom(one: Calendar, after: number, count: number): number[] {
-  const cron = cronOf(one);
-  const moments: number[] = [];
+/** The next openings after a time, as wall-clock times in ms. */
+function startsFrom(rule: Calendar, after: number, count: number): number[] {
+  const cron = cronOf(rule);
+  const starts: number[] = [];
   let from = new Date(after);
   for (let number = 0; number < count; number += 1) {
     const next = cron.nextRun(from);
     if (next === null) break;
-    moments.push(next.getTime());
+    starts.push(next.getTime());
     from = next;
   }
-  return moments;
+  return starts;
 }
 
-/** The window that is open, or the next ones, within the season's own start and end. */
-function windows(one: Calendar, start: number, end: number, wall: number): Window[] {
-  const lasts = one.lastsMinutes * 60_000;
+/** The open window and the next ones, within the start and end of the season. */
+function windows(rule: Calendar, start: number, end: number, wall: number): Window[] {
+  const durationMs = rule.lastsMinutes * 60_000;
   const found: Window[] = [];
-  /** A window that opened as long ago as it lasts is over; what opened before the season does not count. */
-  for (const moment of startsFrom(one, Math.max(wall - lasts, start - 1), constants.windowsTold)) {
-    if (moment >= end) break;
-    found.push({ start: moment, end: Math.min(moment + lasts, end) });
+  // A window is over once its duration has passed; openings before the start of the season do not count.
+  for (const opening of startsFrom(
+    rule,
+    Math.max(wall - durationMs, start - 1),
+    constants.windowsTold,
+  )) {
+    if (opening >= end) break;
+    found.push({ start: opening, end: Math.min(opening + durationMs, end) });
   }
   return found;
 }
 
-export const calendars = { refuse, windows };
+export const calendars = { problemWith, windows };
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -1,3 +1,4 @@
+/** The operators' configuration: its schema, its checks, and what is derived from it (docs/design.md §9). */
 import {
   constants,
   outcome,
@@ -13,7 +14,7 @@
 import { z } from "zod";
 import { callers, limits, passage, pool, tenant } from "./configuration-shapes.js";
 
-/** Runners are told it in a header, where a control character, or one beyond Latin-1, cannot stand. */
+/** Sent to runners in a header, which cannot carry control characters or characters outside Latin-1. */
 const tenantName = z
   .string()
   .max(200)
@@ -21,7 +22,7 @@
     error: "must have no control characters, none beyond Latin-1, and no space at its ends",
   });
 
-/** The operators' configuration, read and checked whole before it is entered (docs/design.md §9). */
+/** Name of a model, an adapter, a way or a season. */
 const name = z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, {
   error: "must be lower-case letters, digits and dashes, 63 at most",
 });
@@ -60,82 +61,84 @@
   { error: "must be one of {label, equals}, {label, in} or {label, exists}" },
 );
 
-const moment = z.string().refine(isMoment, {
+const timestamp = z.string().refine(isTimestamp, {
   error: "must be a date and time with its zone, such as 2026-12-24T00:00:00-05:00",
 });
 
 const season = z.strictObject({
-  start: moment,
-  end: moment,
+  start: timestamp,
+  end: timestamp,
   select: z.array(selector).min(1, { error: "must select something" }),
-  /** Which runners its lots may use, by their labels. */
+  /** Selects by their labels the runners that its lots may use; empty for all. */
   runners: z.array(selector).default([]),
   waiting: z
     .int()
     .min(1, { error: "must be 1 or more; leave the season out to allow nothing new" })
     .max(10_000_000),
   bucket: limits.optional(),
-  /** Opens again and again between start and end: five fields of cron in this zone, each time for so long. */
+  /** A recurring season opens between start and end by a cron expression of five fields in `zone`, for `lastsMinutes` each time. */
   calendar: z.string().max(200).optional(),
   zone: z.string().max(100).optional(),
   lastsMinutes: z.number().positive({ error: "must be more than 0" }).max(525_600).optional(),
 });
 
-const shape = z.strictObject({
+const configurationSchema = z.strictObject({
   pools: z.record(z.string().regex(/^[^/]+$/, { error: "must have no slash" }), pool).default({}),
   passages: z.record(z.string().min(1), passage).default({}),
   models: z.record(name, model).default({}),
   ways: z.record(name, way).default({}),
   seasons: z.record(name, season).default({}),
-  /** An earlier release knows none, and skips it. */
+  /** Earlier releases have no such field and ignore it. */
   callers: callers.optional(),
-  /** Where it is there, even if it names nobody, each request must present a credential. */
+  /** If present, even without any entry, each request must present a credential. */
   tenants: z.record(tenantName, tenant).optional(),
 });
 
-/** The whole document of the operators, as checked. */
-export type Configuration = z.infer<typeof shape>;
-/** A way by name: what is asked for, and which model serves it. */
+/** The configuration document, after its check. */
+export type Configuration = z.infer<typeof configurationSchema>;
+/** A way: a named route for requests of one kind, served by one model. */
 export type Way = Configuration["ways"][string];
-/** Runners of one kind. */
+/** A pool: a group of runners of one kind. */
 export type Pool = Configuration["pools"][string];
-/** A way reached by host and path. */
+/** A passage: a route that is matched by host and path prefix. */
 export type Passage = Configuration["passages"][string];
-/** Who may call, by name. */
+/** A tenant: callers that are known by their credentials. */
 export type Tenant = NonNullable<Configuration["tenants"]>[string];
 
-/** Kept in control state and carried by the feed. */
+/** A configuration with its version, as it is stored in control state and sent with the feed. */
 export interface MarkedConfiguration {
+  /** Version of the configuration. */
   readonly mark: number;
   readonly value: Configuration;
-  /** The operator's own text of it, told back as it was handed in, where an adapter translated it. */
+  /** The operator's original text, returned as it was submitted, if an adapter translated it. */
   readonly origin?: string;
 }
 
-/** An earlier release kept none of the later parts. */
-function read(held: MarkedConfiguration | undefined): MarkedConfiguration {
-  if (held === undefined) return blank;
-  const { pools, passages } = held.value as Partial<Configuration>;
+/** Fills in the fields that a configuration stored by an earlier release lacks. */
+function read(stored: MarkedConfiguration | undefined): MarkedConfiguration {
+  if (stored === undefined) return blank;
+  const { pools, passages } = stored.value as Partial<Configuration>;
   return pools === undefined || passages === undefined
-    ? { ...held, value: { ...blank.value, ...held.value } }
-    : held;
+    ? { ...stored, value: { ...blank.value, ...stored.value } }
+    : stored;
 }
 
+/** The configuration before the first one is submitted. */
 export const blank: MarkedConfiguration = {
   mark: 0,
   value: { pools: {}, passages: {}, models: {}, ways: {}, seasons: {} },
 };
 
-function isMoment(text: string): boolean {
+function isTimestamp(text: string): boolean {
   return (
     /^\d{4}-\d{2}-\d{2}T\d{2}:\d{2}(:\d{2})?(Z|[+-]\d{2}:\d{2})$/.test(text) &&
     Number.isFinite(Date.parse(text))
   );
 }
 
-/** The whole check: shape first, then what the parts say of each other. */
+/** Validates a document: first its schema, then the references between its parts. */
 function check(input: unknown): Outcome<Configuration> {
-  const parsed = shape.safeParse(input);
+  const parsed = configurationSchema.safeParse(input);
   if (!parsed.success) return outcome.bad(explain(parsed.error));
   const value = parsed.data;
   const found: string[] = [];
@@ -166,12 +169,12 @@
     if (each.deadlineSeconds !== undefined && each.kind !== "lot")
       found.push(`ways.${key}.deadlineSeconds: is for lots only`);
   }
-  const places = new Set<string>();
+  const routes = new Set<string>();
   for (const [key, each] of Object.entries(value.passages)) {
-    const place = `${each.host}${each.prefix}`;
-    if (places.has(place))
+    const route = `${each.host}${each.prefix}`;
+    if (routes.has(route))
       found.push(`passages.${key}.prefix: another passage has the same host and prefix`);
-    places.add(place);
+    routes.add(route);
     let weights = 0;
     for (const { pool: name, weight } of each.pools) {
       weights += weight;
@@ -185,15 +188,15 @@
     if (recurring === "half")
       found.push(`seasons.${key}.calendar: calendar, zone and lastsMinutes go together`);
     else if (recurring !== undefined && Date.parse(each.end) > Date.parse(each.start)) {
-      const reason = calendars.refuse(recurring, Date.parse(each.start), Date.parse(each.end));
+      const reason = calendars.problemWith(recurring, Date.parse(each.start), Date.parse(each.end));
       if (reason !== undefined) found.push(`seasons.${key}.${reason}`);
     }
     if (Date.parse(each.end) <= Date.parse(each.start))
       found.push(`seasons.${key}.end: must be after the start`);
-    const contradiction = contradicts(each.select);
+    const contradiction = contradictionIn(each.select);
     if (contradiction !== undefined)
       found.push(`seasons.${key}.select: can select nothing, since ${contradiction}`);
-    const impossible = contradicts(each.runners);
+    const impossible = contradictionIn(each.runners);
     if (impossible !== undefined)
       found.push(`seasons.${key}.runners: can select no runner, since ${impossible}`);
   }
@@ -201,7 +204,7 @@
   return found.length > 0 ? outcome.bad(found.join("; ")) : outcome.good(value);
 }
 
-/** Two tenants may not share a credential; the reason does not repeat it, since credentials are secret. */
+/** Credentials that two tenants share. The message does not contain the credential, since it is secret. */
 function sharedCredentials({ tenants = {} }: Configuration): string[] {
   const found: string[] = [];
   const owners = new Map<string, string>();
@@ -214,6 +217,7 @@
   return found;
 }
 
+/** The calendar of a recurring season; "half" if only some of its three fields are given. */
 function calendarOf({
   calendar,
   zone,
@@ -229,17 +233,17 @@
     : { calendar, zone, lastsMinutes };
 }
 
-/** What is allowed but looks like a slip: labels that nothing in the configuration carries. */
+/** Warnings about probable mistakes: selectors on labels that nothing in the configuration has. */
 function warnings(value: Configuration): string[] {
-  const carried = new Set<string>(["way"]);
+  const knownLabels = new Set<string>(["way"]);
   for (const { labels: each } of queues(value))
-    for (const key of Object.keys(each)) carried.add(key);
+    for (const key of Object.keys(each)) knownLabels.add(key);
   for (const each of Object.values(value.ways))
-    for (const key of Object.keys(each.labels)) carried.add(key);
+    for (const key of Object.keys(each.labels)) knownLabels.add(key);
   const found: string[] = [];
   for (const [key, each] of Object.entries(value.seasons)) {
     for (const { label } of each.select)
-      if (!carried.has(label))
+      if (!knownLabels.has(label))
         found.push(
           `seasons.${key}.select: no model, adapter or way carries the label ${label}; only lots that bring it are selected`,
         );
@@ -247,7 +251,8 @@
   return found;
 }
 
-function contradicts(selectors: z.infer<typeof selector>[]): string | undefined {
+/** Why no set of labels can match all of the selectors, or undefined if one can. */
+function contradictionIn(selectors: z.infer<typeof selector>[]): string | undefined {
   const allowed = new Map<string, Set<string>>();
   const absent = new Set<string>();
   const present = new Set<string>();
@@ -258,9 +263,9 @@
     }
     present.add(each.label);
     const values = new Set("equals" in each ? [each.equals] : each.in);
-    const held = allowed.get(each.label);
-    if (held === undefined) allowed.set(each.label, values);
-    else for (const value of held) if (!values.has(value)) held.delete(value);
+    const permitted = allowed.get(each.label);
+    if (permitted === undefined) allowed.set(each.label, values);
+    else for (const value of permitted) if (!values.has(value)) permitted.delete(value);
   }
   for (const label of present)
     if (absent.has(label)) return `${label} must both exist and not exist`;
@@ -268,7 +273,7 @@
   return undefined;
 }
 
-/** A small change: objects are merged, null takes a key away (as RFC 7396 has it). */
+/** Applies a JSON merge patch (RFC 7396): objects are merged, null removes a key. */
 function patch(target: unknown, change: unknown): unknown {
   if (typeof change !== "object" || change === null || Array.isArray(change)) return change;
   const base: Record<string, unknown> =
@@ -283,7 +288,7 @@
   return base;
 }
 
-/** Labels that a lot brings of its own; undefined where they are none. */
+/** Validates the labels of a lot; undefined if they are invalid or too many. */
 function labelsOf(input: unknown): Labels | undefined {
   const parsed = labels.safeParse(input);
   return parsed.success && Object.keys(parsed.data).length <= constants.lotLabelsMost
@@ -291,14 +296,18 @@
     : undefined;
 }
 
-/** One queue per model and per adapter (the source's rule), and one per model that lots of passages ask for (§13.7). */
+/**
+ * A queue that the configuration calls for: one for each model and each adapter (as in the paper), and one for each model that
+ * lots of passages request (docs/design.md §13.7).
+ */
 export interface QueuePlan {
   readonly queue: string;
-  /** Its prompts are items of lots on passages. */
+  /** The queue holds items of lots on passages. */
   readonly pooled?: true;
   readonly model: string;
   readonly adapter?: string;
   readonly limits: Limits;
+  /** The most that may be waiting in the queue. */
   readonly waiting: number;
   readonly labels: Labels;
 }
@@ -313,8 +322,9 @@
 }
 
 /**
- * Items of one model wait in one queue, whatever pool their passage leads to: so a passage that moves to another pool finds
- * its lots, and what they weigh, where they were. A model's own queue never has a slash in its name (§13.7).
+ * The queue for items of lots on passages. Items of one model share one queue, whichever pool their passage uses, so that a
+ * passage can move to another pool and keep its lots and their counts. Other queues never have a slash in their names
+ * (docs/design.md §13.7).
  */
 function poolQueue(model: string | undefined): string {
   return `pass/${model ?? ""}`;
@@ -324,19 +334,19 @@
   return queue.includes("/");
 }
 
-/** The models of a pool that have queues: one without a name where its runners are plain. */
+/** The models of a pool that have queues; an empty name stands for the plain runners of a pool without models. */
 function modelsOf(pool: Pool): readonly string[] {
   return pool.models.length === 0 ? [""] : pool.models;
 }
 
-/** Pools that lots of a passage may run in now. */
+/** Pools that lots of a passage may currently run in: those with a weight above 0. */
 function poolsOf(passage: Passage): string[] {
   const found = new Set<string>();
   for (const { pool: name, weight } of passage.pools) if (weight > 0) found.add(name);
   return [...found];
 }
 
-/** Queues that lots of a passage may fall into. */
+/** Queues that items of lots of a passage may be placed in. */
 function queuesOf(value: Configuration, passage: Passage): string[] {
   const found = new Set<string>();
   for (const name of poolsOf(passage))
@@ -344,29 +354,29 @@
   return [...found];
 }
 
-/** The queue for a lot whose items ask for a model: its own, or the first of the passage where no pool of it names that model. */
-function queueFor(value: Configuration, passage: Passage, asked: string | undefined): string {
-  const own = poolQueue(asked);
+/** The queue for a lot whose items request a model: that model's queue, or the first of the passage if no pool has the model. */
+function queueFor(value: Configuration, passage: Passage, model: string | undefined): string {
+  const own = poolQueue(model);
   const all = queuesOf(value, passage);
   return all.includes(own) ? own : all[0]!;
 }
 
 function poolQueues(value: Configuration, { poolRate, poolBurst }: Policy): QueuePlan[] {
-  const limitsOf = new Map<string, Limits>();
+  const limitsByQueue = new Map<string, Limits>();
   const counted = new Set<string>();
   for (const passage of Object.values(value.passages ?? {})) {
     if (passage.kind !== "lot") continue;
-    for (const key of poolsOf(passage)) {
-      if (counted.has(key)) continue;
-      counted.add(key);
-      const each = value.pools[key]!;
+    for (const name of poolsOf(passage)) {
+      if (counted.has(name)) continue;
+      counted.add(name);
+      const each = value.pools[name]!;
       const own = each.bucket ?? { tokens: poolRate, windowSeconds: 1, capacity: poolBurst };
-      for (const carried of modelsOf(each))
-        limitsOf.set(poolQueue(carried), together(limitsOf.get(poolQueue(carried)), own));
+      for (const model of modelsOf(each))
+        limitsByQueue.set(poolQueue(model), sumLimits(limitsByQueue.get(poolQueue(model)), own));
     }
   }
   const plans: QueuePlan[] = [];
-  for (const [queue, all] of limitsOf)
+  for (const [queue, all] of limitsByQueue)
     plans.push({
       queue,
       pooled: true,
@@ -378,8 +388,8 @@
   return plans;
 }
 
-/** What several pools allow for one model together. */
-function together(left: Limits | undefined, right: Limits): Limits {
+/** The sum of two rate limits, as a rate per second. */
+function sumLimits(left: Limits | undefined, right: Limits): Limits {
   if (left === undefined) return right;
   return {
     tokens: left.tokens / left.windowSeconds + right.tokens / right.windowSeconds,
@@ -388,6 +398,7 @@
   };
 }
 
+/** All queues that a configuration calls for. */
 function queues(value: Configuration, chosen: Policy = policy.usual): QueuePlan[] {
   const plans: QueuePlan[] = [];
   for (const [key, each] of Object.entries(value.models)) {
@@ -406,7 +417,7 @@
   return plans;
 }
 
-/** Seasons as windows around a moment: a recurring one gives the window that is open or to come next, and two more. */
+/** Seasons as time windows: a recurring season yields the window that is open or comes next, and two more. */
 function seasonsOf(value: Configuration, wall: number): Season[] {
   const all: Season[] = [];
   for (const [key, each] of Object.entries(value.seasons)) {
--- a/packages/control/src/control-desk.ts
+++ b/packages/control/src/control-desk.ts
@@ -1,19 +1,20 @@
+/** The API of a control machine towards adapters (docs/design.md §13.2). */
 import type { RunnerCard } from "@chutewick/parts";
 import type { Announced, ControlOutcome } from "./control-messages.js";
 import type { ControlCommand } from "./machine.js";
 
-/** What an interface (ours or an adapter's) may ask of a control machine (docs/design.md §13.2). */
+/** Operations that an adapter, or the built-in interface, may call on a control machine. */
 export interface ControlDesk {
-  /** Whether this machine knows the group's state well enough to take requests. */
+  /** Whether this machine knows the state of the control group well enough to accept requests. */
   isReady(): boolean;
-  /** A report of a runner; the sequence rises with each. It is acknowledged only where it is taken. */
+  /** Processes a report of a runner; the sequence number rises with each report. Only accepted reports are acknowledged. */
   announce(card: Omit<RunnerCard, "age">, sequence: number): Announced["kind"];
-  /** Entered at the head, from wherever it came; refused at once where no majority of control is reached. */
-  inquire(command: ControlCommand, told: (outcome: ControlOutcome) => void): void;
+  /** Runs a command at the head of the control chain; rejected at once if no quorum of control machines is reachable. */
+  inquire(command: ControlCommand, complete: (outcome: ControlOutcome) => void): void;
 }
 
-/** An interface towards operators and runners that stands beside our own. */
+/** A further interface for operators and runners, next to the built-in one. */
 export interface ControlFront {
-  open(desk: ControlDesk): Promise<void>;
+  open(api: ControlDesk): Promise<void>;
   close(): Promise<void>;
 }
--- a/packages/control/src/control-status.ts
+++ b/packages/control/src/control-status.ts
@@ -1,3 +1,4 @@
+/** Status report of a control machine for operators. */
 import type {
   ChainView,
   DiskCondition,
@@ -15,12 +16,12 @@
 import { queuesUnder } from "./queue-reports.js";
 import { zonesOf } from "./zones.js";
 
-/** What a control machine knows of itself and the system, for its status. */
+/** The state that the status of a control machine is made from. */
 export interface StatusSource {
   readonly self: Member;
   readonly view: ChainView | undefined;
   readonly isHead: boolean;
-  /** Whether a majority of control is reached; where not, all of the status is what was known before. */
+  /** Whether a quorum of control machines is reachable; if not, the status may be out of date. */
   readonly hasQuorum: boolean;
   readonly disk: DiskCondition;
   readonly feed: Feed;
@@ -32,7 +33,7 @@
   readonly policy: Policy;
 }
 
-/** Status of a control machine, for operators. */
+/** The status as JSON. */
 export function controlStatus(source: StatusSource): Record<string, unknown> {
   const { feed, registry } = source;
   const queues = queuesUnder<ChainView>(feed, keys.queue);
@@ -47,23 +48,23 @@
     nodes: registry.nodes.map(nodeStatus),
     runners: registry.runners,
     queues: Object.fromEntries(queues),
-    standings: standingsStatus(source),
-    emptying: emptyingStatus(feed, queues),
+    standings: quotaStatus(source),
+    emptying: drainStatus(feed, queues),
     safeToLoseOne: isSafeToLoseOne(source, queues),
     safeToLoseZone: zonesNotSafeToLose(source, queues) ?? true,
   };
 }
 
-/** A node as its session has it, without its reports. */
+/** A node as its session describes it, without its reports. */
 function nodeStatus(node: RunnerRegistry["nodes"][number]): Record<string, unknown> {
   const { telling: _telling, ...card } = node.card;
   return { ...card, age: Math.round(node.age) };
 }
 
-function standingsStatus({ standings, reports }: StatusSource): Record<string, unknown> {
+function quotaStatus({ standings, reports }: StatusSource): Record<string, unknown> {
   const status: Record<string, unknown> = {};
-  for (const [queue, standing] of standings)
-    status[queue] = { ...standing, report: reportStatus(reports.get(queue)) };
+  for (const [queue, quota] of standings)
+    status[queue] = { ...quota, report: reportStatus(reports.get(queue)) };
   return status;
 }
 
@@ -72,11 +73,8 @@
   return { shareMark: report.shareMark, classes: Object.fromEntries(report.classes) };
 }
 
-/** How many queues each machine that is being emptied still keeps. */
-function emptyingStatus(
-  feed: Feed,
-  queues: ReadonlyMap<string, ChainView>,
-): Record<string, unknown> {
+/** The number of queues that each machine under drain still stores. */
+function drainStatus(feed: Feed, queues: ReadonlyMap<string, ChainView>): Record<string, unknown> {
   const counts = queuesByMachine(queues.values());
   const status: Record<string, unknown> = {};
   for (const identity of queuesUnder(feed, keys.emptying).keys())
@@ -84,7 +82,7 @@
   return status;
 }
 
-/** Whether the control group and each queue have all copies that are wanted. */
+/** Whether the control group and each queue have the full number of copies. */
 function isSafeToLoseOne(
   { view, storage, policy }: StatusSource,
   queues: ReadonlyMap<string, ChainView>,
@@ -98,7 +96,7 @@
   return true;
 }
 
-/** For each zone, why its loss would leave a queue too few copies; undefined where none would. */
+/** For each zone whose loss would leave a queue too few copies, the reason; undefined if there is no such zone. */
 function zonesNotSafeToLose(
   { storage, policy }: StatusSource,
   queues: ReadonlyMap<string, ChainView>,
--- a/packages/control/src/duties/backoff.ts
+++ b/packages/control/src/duties/backoff.ts
@@ -1,12 +1,12 @@
 import { constants } from "@chutewick/parts";
 
-/** Exponential backoff with full jitter: pauses between tries of one thing. */
+/** Exponential backoff with full jitter between the attempts of one operation. */
 export class Backoff {
   readonly #random: () => number;
   #failures = 0;
   #until = Number.NEGATIVE_INFINITY;
 
-  /** The source of chance gives numbers from 0 to 1. */
+  /** @param random yields numbers from 0 to 1 */
   constructor(random: () => number) {
     this.#random = random;
   }
@@ -16,14 +16,17 @@
   }
 
   failed(now: number): void {
-    const most = Math.min(constants.dutyPauseMost, constants.dutyPauseFirst * 2 ** this.#failures);
+    const maxPause = Math.min(
+      constants.dutyPauseMost,
+      constants.dutyPauseFirst * 2 ** this.#failures,
+    );
     this.#failures += 1;
-    this.pause(constants.dutyPauseLeast + most * this.#random(), now);
+    this.pause(constants.dutyPauseLeast + maxPause * this.#random(), now);
   }
 
-  /** A pause of a given length, in ms, that is no failure. */
-  pause(length: number, now: number): void {
-    this.#until = Math.max(this.#until, now + length);
+  /** Pauses for a number of ms without counting a failure. */
+  pause(durationMs: number, now: number): void {
+    this.#until = Math.max(this.#until, now + durationMs);
   }
 
   succeeded(): void {
--- a/packages/control/src/duties/duty-ledger.ts
+++ b/packages/control/src/duties/duty-ledger.ts
@@ -1,42 +1,42 @@
+/**
+ * Replicated state machine of duties (docs/design.md §14). A claim is a round of the control group for a single act: it decides in
+ * one step who performs the act, with which fencing number, and with which content. The record of a subject is never removed, so
+ * its fencing number never falls.
+ */
 import { constants, type Ledger } from "@chutewick/parts";
 import { keys } from "../keys.js";
 import { isSuperseding, type ActBody, type ActName } from "./duty-acts.js";
 import { numberRanges, type NumberRange, type NumberRanges } from "./number-ranges.js";
 
-/**
- * The replicated rules of duties (docs/design.md §14). A claim is a round of the control group for a single act: it decides at
- * once who acts, with which fence, and what is said. The record of a subject stays for ever, so its fence never falls.
- */
-
-/** Asks for the round of one act. */
+/** Requests the round of one act. */
 export interface ClaimAct extends ActName {
   readonly kind: "claim-act";
-  /** Name of the machine that asks. */
+  /** Name of the machine that requests the round. */
   readonly holder: string;
-  /** What the act says if nobody decided it before. */
+  /** Content of the act, unless an earlier round has decided it. */
   readonly body: ActBody;
-  /** ms of the ledger. Another holder wins only when the last one has won nothing for so long. */
+  /** Duration of the lease in ms of ledger time. Another holder wins only after the last one has won no round for this long. */
   readonly lease: number;
-  /** Where the platform has seen a higher fence than the ledger has. */
+  /** Minimum for the fencing number, if the platform has seen a higher one than the ledger has. */
   readonly fenceAtLeast?: number;
 }
 
-/** Tells that the platform has taken an act. */
+/** Reports that the platform has accepted an act. */
 export interface FinishAct extends ActName {
   readonly kind: "finish-act";
   readonly holder: string;
 }
 
-/** What became of a claim. */
+/** The result of a claim. */
 export type ClaimResult =
-  /** The round is won; the body is what was decided first, whoever claimed then. */
+  /** The round is won. The body is the one that was decided first, by whichever holder. */
   | { readonly kind: "ACT_WON"; readonly fence: number; readonly body: ActBody }
-  /** Another machine holds the subject; ms until its lease may be over. */
+  /** Another machine holds the subject; `wait` is the time in ms until its lease may end. */
   | { readonly kind: "ACT_HELD"; readonly holder: string; readonly wait: number }
-  /** The platform has taken the act, or a newer one that makes it void. */
+  /** The platform has accepted the act, or a newer one that supersedes it. */
   | { readonly kind: "ACT_FINISHED" };
 
-/** Whether a result of a control command is that of a claim. */
+/** Whether the result of a control command is the result of a claim. */
 export function isClaimResult(result: { readonly kind: string }): result is ClaimResult {
   return ["ACT_WON", "ACT_HELD", "ACT_FINISHED"].includes(result.kind);
 }
@@ -45,11 +45,11 @@
 export interface DutyRecord {
   readonly fence: number;
   readonly holder: string;
-  /** ms of the ledger. When the holder won its last round. */
+  /** Ledger time in ms at which the holder won its last round. */
   readonly at: number;
-  /** Numbers of acts that are decided and not finished, ascending. */
+  /** Numbers of the acts that are decided but not finished, ascending. */
   readonly open: readonly number[];
-  /** Numbers of acts that are never decided again. */
+  /** Numbers of the acts that are never decided again. */
   readonly finished: NumberRanges;
   /** The newest act that was decided. */
   readonly newest: { readonly number: number; readonly body: ActBody };
@@ -57,14 +57,15 @@
   readonly last?: FinishedAct;
 }
 
-/** An act that the platform has taken. */
+/** An act that the platform has accepted. */
 export interface FinishedAct {
   readonly number: number;
   readonly holder: string;
-  /** ms of the ledger. */
+  /** Ledger time in ms. */
   readonly at: number;
 }
 
+/** Decides a round. */
 function claim(ledger: Ledger, command: ClaimAct, time: number): ClaimResult {
   const key = keys.dutyKey(command);
   const record = ledger.read<DutyRecord>(key);
@@ -72,19 +73,19 @@
     return { kind: "ACT_FINISHED" };
   const wait = waitOf(record, command, time);
   if (record !== undefined && wait > 0) return { kind: "ACT_HELD", holder: record.holder, wait };
-  const body = decide(ledger, record, command);
+  const body = decideBody(ledger, record, command);
   const fence = fenceOf(record, command);
-  ledger.put(key, { ...decided(ledger, record, command, body), fence, at: time });
+  ledger.put(key, { ...withOpenAct(ledger, record, command, body), fence, at: time });
   return { kind: "ACT_WON", fence, body };
 }
 
-/** ms until the claim may win: none for the holder itself. */
+/** Time in ms until the claim may win; 0 for the holder itself. */
 function waitOf(record: DutyRecord | undefined, command: ClaimAct, time: number): number {
   if (record === undefined || record.holder === command.holder) return 0;
   return record.at + command.lease - time;
 }
 
-/** The fence rises with each change of the holder, and where the platform has seen a higher one. */
+/** The fencing number. It rises with each change of the holder, and if the platform has seen a higher one. */
 function fenceOf(record: DutyRecord | undefined, command: ClaimAct): number {
   const least = command.fenceAtLeast ?? 0;
   if (record === undefined) return Math.max(1, least);
@@ -92,16 +93,16 @@
   return Math.max(fence, least);
 }
 
-/** What the act says: as it was decided first, which is kept until the act is finished. */
-function decide(ledger: Ledger, record: DutyRecord | undefined, command: ClaimAct): ActBody {
+/** The content of the act. The first decision is stored until the act is finished. */
+function decideBody(ledger: Ledger, record: DutyRecord | undefined, command: ClaimAct): ActBody {
   if (record?.open.includes(command.number) === true)
     return ledger.read<ActBody>(keys.actKey(command)) ?? command.body;
   ledger.put(keys.actKey(command), command.body);
   return command.body;
 }
 
-/** The record with the act among those that are open. */
-function decided(
+/** The record with the act added to the open ones. */
+function withOpenAct(
   ledger: Ledger,
   record: DutyRecord | undefined,
   command: ClaimAct,
@@ -110,29 +111,29 @@
   const { number, holder } = command;
   const others = (record?.open ?? []).filter((open) => open !== number);
   const open = [...others, number].sort(ascending);
-  const voided = voidedBy(command, open);
-  for (const old of voided) ledger.remove(keys.actKey({ ...command, number: old }));
+  const abandoned = abandonedBy(command, open);
+  for (const old of abandoned) ledger.remove(keys.actKey({ ...command, number: old }));
   const isNewest = record === undefined || number >= record.newest.number;
   return {
     holder,
-    open: open.filter((kept) => !voided.includes(kept)),
-    finished: withAll(record?.finished ?? [], voidRanges(command, voided)),
+    open: open.filter((kept) => !abandoned.includes(kept)),
+    finished: withAll(record?.finished ?? [], abandonedRanges(command, abandoned)),
     newest: isNewest ? { number, body } : record.newest,
     ...(record?.last === undefined ? {} : { last: record.last }),
   };
 }
 
-/** Open acts that are given up: those a newer one makes void, and the oldest ones beyond the bound. */
-function voidedBy(command: ClaimAct, open: readonly number[]): readonly number[] {
+/** Open acts that are abandoned: those that a newer one supersedes, and the oldest ones beyond the bound. */
+function abandonedBy(command: ClaimAct, open: readonly number[]): readonly number[] {
   if (isSuperseding(command.duty)) return open.filter((number) => number < command.number);
   const excess = Math.max(0, open.length - constants.openActsMost);
   return open.filter((number) => number !== command.number).slice(0, excess);
 }
 
-/** Where a newer act makes older ones void, so it does with those that nobody has decided yet. */
-function voidRanges(command: ClaimAct, voided: readonly number[]): readonly NumberRange[] {
+/** The numbers that count as finished from now on. A superseding act also covers older ones that were never decided. */
+function abandonedRanges(command: ClaimAct, abandoned: readonly number[]): readonly NumberRange[] {
   if (isSuperseding(command.duty)) return [[0, command.number - 1]];
-  return voided.map((number) => [number, number]);
+  return abandoned.map((number) => [number, number]);
 }
 
 function withAll(ranges: NumberRanges, added: readonly NumberRange[]): NumberRanges {
@@ -141,6 +142,7 @@
   return numberRanges.bounded(all, constants.finishedRangesMost);
 }
 
+/** Marks an act as finished and removes its content. */
 function finish(ledger: Ledger, command: FinishAct, time: number): void {
   const key = keys.dutyKey(command);
   const record = ledger.read<DutyRecord>(key);
--- a/packages/control/src/duties/duty-outputs.ts
+++ b/packages/control/src/duties/duty-outputs.ts
@@ -1,50 +1,51 @@
+/** Commands and calls that the performer of duties issues, and their outcomes. */
 import type { ControlOutcome } from "../control-messages.js";
 import type { ActBody, ActName } from "./duty-acts.js";
 import type { ClaimAct, FinishAct } from "./duty-ledger.js";
 
-/** What the performer of duties asks of its surroundings. */
+/** An output of the performer. */
 export type DutyOutput = DutyInquiry | DutyCallOutput;
 
-/** A command for the control group; its outcome is to be told under the ticket. */
+/** A command for the control group; its outcome is reported back with the ticket. */
 export interface DutyInquiry {
   readonly kind: "inquire";
   readonly ticket: string;
   readonly command: ClaimAct | FinishAct;
 }
 
-/** A call to the platform; its outcome is to be told under the ticket. */
+/** A call to the platform; its outcome is reported back with the ticket. */
 export interface DutyCallOutput {
   readonly kind: "call";
   readonly ticket: string;
   readonly call: DutyCall;
 }
 
-/** One call to the platform under a round that was won for it. */
+/** One call to the platform, in a round that was won for it. */
 export interface DutyCall {
   readonly act: ActName;
   readonly body: ActBody;
   readonly holder: string;
   readonly fence: number;
-  /** ms, of this machine's monotonic clock. No byte may go out later: the round is too old then. */
+  /** Deadline in monotonic ms of this machine for the first byte; after it the round has expired. */
   readonly sendBy: number;
-  /** ms. The answer is waited for this long. */
+  /** Timeout in ms for the answer. */
   readonly patience: number;
 }
 
-/** What became of a call. */
+/** The outcome of a call. */
 export type DutyOutcome =
-  /** The platform took it. */
+  /** The platform accepted the act. */
   | "taken"
-  /** The platform has seen a higher fence of the same subject. */
+  /** The platform has seen a higher fencing number of the same subject. */
   | "outdated"
-  /** The platform takes no more now, or failed. */
+  /** The platform is overloaded or failed. */
   | "busy"
-  /** No answer: not reached, cut off or too slow. Whether it was taken is not known. */
+  /** No answer: unreachable, disconnected or timed out. The act may or may not have been accepted. */
   | "lost"
-  /** Surely not sent, as the round was too old. */
+  /** Certainly not sent, as the round had expired. */
   | "unsent"
-  /** The platform will never take it as it is. */
+  /** The platform will never accept the act in this form. */
   | "rejected";
 
-/** What became of a command. */
+/** The outcome of a command. */
 export type DutyInquiryOutcome = ControlOutcome;
--- a/packages/control/src/duties/duty-performer.ts
+++ b/packages/control/src/duties/duty-performer.ts
@@ -1,3 +1,4 @@
+/** Performs all duties of a control machine, without I/O (docs/design.md §14). */
 import { constants } from "@chutewick/parts";
 import { keys } from "../keys.js";
 import type { DueAct } from "./duty-acts.js";
@@ -5,14 +6,15 @@
 import type { DutyRecords, DutySubject } from "./duty-records.js";
 import { SubjectPerformer, type DutyMachine } from "./subject-performer.js";
 
-/** What holds for a machine at a moment. */
+/** State that duties depend on, at one moment. */
 export interface DutySituation {
   readonly now: number;
-  /** Place of this machine in the view of the control group, and how many members that has. */
+  /** Position of this machine in the view of the control group. */
   readonly place: number;
+  /** Number of members of that view. */
   readonly members: number;
   readonly records: DutyRecords;
-  /** Acts that are due by what this machine knows itself. */
+  /** Acts that are due according to this machine's own state. */
   readonly due: readonly DueAct[];
 }
 
@@ -23,57 +25,57 @@
 }
 
 /**
- * Performs the duties at the platform without I/O (docs/design.md §14): takes what is due and what became of commands and
- * calls, returns commands and calls. Subjects go on by themselves; their calls share this machine's part of what the platform
- * takes.
+ * Performs the duties at the platform: its inputs are the acts that are due and the outcomes of commands and calls, its outputs
+ * are new commands and calls. Subjects are independent of each other, but their calls share this machine's part of the call rate
+ * of the platform.
  */
 export class DutyPerformer {
   readonly #machine: DutyMachine;
   readonly #subjects = new Map<string, SubjectPerformer>();
-  /** Who waits for the outcome under a ticket. */
-  readonly #waiting = new Map<string, SubjectPerformer>();
-  /** ms. When each open act was first seen here without being due by this machine's own knowledge. */
+  /** Performers that expect an outcome, by ticket. */
+  readonly #pending = new Map<string, SubjectPerformer>();
+  /** When this machine first saw each open act in the records, in monotonic ms. */
   #openSince = new Map<string, number>();
-  /** Calls that this machine may still make. */
+  /** Token bucket of the calls that this machine may make. */
   #budget = { tokens: 1, at: 0 };
 
   constructor(machine: DutyMachine) {
     this.#machine = machine;
   }
 
-  /** Time passes. */
+  /** Advances the clock; returns the commands that are due. */
   beat(situation: DutySituation): DutyOutput[] {
     this.#refill(situation);
     const outputs: DutyOutput[] = [];
     for (const { subject, acts } of this.#actsBySubject(situation).values()) {
       const performer = this.#performer(subject);
-      const asked = performer.beat({
+      const commands = performer.beat({
         now: situation.now,
         place: situation.place,
         record: situation.records.record(subject),
         acts: [...acts.values()].sort(byNumber),
         mayCall: this.#budget.tokens >= 1,
       });
-      this.#spend(asked);
-      outputs.push(...this.#expect(performer, asked));
+      this.#spend(commands);
+      outputs.push(...this.#awaitOutcomes(performer, commands));
     }
     return outputs;
   }
 
-  /** What became of a command. */
+  /** Handles the outcome of a command. */
   inquired(ticket: string, outcome: DutyInquiryOutcome, now: number): DutyOutput[] {
-    const performer = this.#waiting.get(ticket);
-    this.#waiting.delete(ticket);
+    const performer = this.#pending.get(ticket);
+    this.#pending.delete(ticket);
     if (performer === undefined) return [];
-    return this.#expect(performer, performer.inquired(ticket, outcome, now));
+    return this.#awaitOutcomes(performer, performer.inquired(ticket, outcome, now));
   }
 
-  /** What became of a call. */
+  /** Handles the outcome of a call. */
   called(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
-    const performer = this.#waiting.get(ticket);
-    this.#waiting.delete(ticket);
+    const performer = this.#pending.get(ticket);
+    this.#pending.delete(ticket);
     if (performer === undefined) return [];
-    return this.#expect(performer, performer.called(ticket, outcome, now));
+    return this.#awaitOutcomes(performer, performer.called(ticket, outcome, now));
   }
 
   #performer(subject: DutySubject): SubjectPerformer {
@@ -83,13 +85,13 @@
     return performer;
   }
 
-  /** Outcomes of these go to the performer. */
-  #expect(performer: SubjectPerformer, outputs: DutyOutput[]): DutyOutput[] {
-    for (const { ticket } of outputs) this.#waiting.set(ticket, performer);
+  /** Routes the outcomes of these outputs to the performer. */
+  #awaitOutcomes(performer: SubjectPerformer, outputs: DutyOutput[]): DutyOutput[] {
+    for (const { ticket } of outputs) this.#pending.set(ticket, performer);
     return outputs;
   }
 
-  /** All subjects with acts that are due, or were decided and are not finished. */
+  /** All subjects with acts that are due, or that are decided but not finished. */
   #actsBySubject({ due, records, now }: DutySituation): Map<string, SubjectActs> {
     const bySubject = new Map<string, SubjectActs>();
     function actsOf({ duty, subject }: DutySubject): Map<number, DueAct> {
@@ -103,7 +105,7 @@
     return bySubject;
   }
 
-  /** Acts that are decided and not finished, also where this machine does not know why they were due. */
+  /** Acts that are decided but not finished, including those that are not due by this machine's own state. */
   #openActs(records: DutyRecords, now: number): DueAct[] {
     const open: DueAct[] = [];
     const since = new Map<string, number>();
@@ -117,16 +119,19 @@
     return open;
   }
 
-  /** This machine's part of the calls that the platform takes: all machines may act at once, each on other subjects. */
+  /** Refills the budget. The call rate is divided by the members, as all machines may act at once on different subjects. */
   #refill({ members, now }: DutySituation): void {
-    const part = constants.dutyCallsPart / Math.max(1, members);
-    const perSecond = this.#machine.bounds.callsPerSecond * part;
+    const share = constants.dutyCallsPart / Math.max(1, members);
+    const perSecond = this.#machine.bounds.callsPerSecond * share;
     const elapsed = Math.max(0, now - this.#budget.at) / 1_000;
-    const most = Math.max(1, perSecond);
-    this.#budget = { tokens: Math.min(most, this.#budget.tokens + elapsed * perSecond), at: now };
+    const maxTokens = Math.max(1, perSecond);
+    this.#budget = {
+      tokens: Math.min(maxTokens, this.#budget.tokens + elapsed * perSecond),
+      at: now,
+    };
   }
 
-  /** A round that is asked for may lead to one call. */
+  /** Charges one call for each requested round. */
   #spend(outputs: readonly DutyOutput[]): void {
     const claims = outputs.filter(isClaim).length;
     this.#budget = { ...this.#budget, tokens: this.#budget.tokens - claims };
--- a/packages/control/src/duties/duty-records.ts
+++ b/packages/control/src/duties/duty-records.ts
@@ -1,17 +1,18 @@
+/** A control machine's copy of the records of duties. */
 import type { Change } from "@chutewick/parts";
 import { keys } from "../keys.js";
 import type { ActBody, ActName, DutyKind } from "./duty-acts.js";
 import type { DutyRecord } from "./duty-ledger.js";
 
-/** A subject of a duty: its acts share fence and holder. */
+/** A subject of a duty: its acts share the holder and the fencing number. */
 export type DutySubject = Pick<ActName, "duty" | "subject">;
 
-/** The confirmed records of duties as one control machine knows them; they may be behind those of the head. */
+/** The committed records of duties as one control machine knows them; they may be older than those at the head. */
 export class DutyRecords {
   readonly #records = new Map<string, DutyRecord>();
   readonly #bodies = new Map<string, ActBody>();
 
-  /** Confirmed changes of any control records. */
+  /** Applies committed changes of control records; ignores those of other kinds. */
   take(changes: Iterable<Change>): void {
     for (const [key, value] of changes) {
       if (key.startsWith(keys.duty)) put(this.#records, key, value);
@@ -19,7 +20,7 @@
     }
   }
 
-  /** All control records, in place of what was known. */
+  /** Replaces the copy by a full set of control records. */
   restore(records: Iterable<Change>): void {
     this.#records.clear();
     this.#bodies.clear();
@@ -30,7 +31,7 @@
     return this.#records.get(keys.dutyKey(subject));
   }
 
-  /** Acts that are decided and not finished, with what they say. */
+  /** Acts that are decided but not finished, with their content. */
   *openActs(): Generator<ActName & { readonly body: ActBody }> {
     for (const [subject, { open }] of this.all())
       for (const number of open) {
@@ -51,7 +52,7 @@
 }
 
 function subjectOf(key: string): DutySubject {
-  const named = key.slice(keys.duty.length);
-  const cut = named.indexOf("/");
-  return { duty: named.slice(0, cut) as DutyKind, subject: named.slice(cut + 1) };
+  const path = key.slice(keys.duty.length);
+  const cut = path.indexOf("/");
+  return { duty: path.slice(0, cut) as DutyKind, subject: path.slice(cut + 1) };
 }
--- a/packages/control/src/duties/duty-service.ts
+++ b/packages/control/src/duties/duty-service.ts
@@ -1,3 +1,4 @@
+/** Performs the duties of a control process, with I/O (docs/design.md §14). */
 import { metrics, monotonic, type Log } from "@chutewick/shell";
 import { constants, type DutyBounds } from "@chutewick/parts";
 import type { ControlOutcome } from "../control-messages.js";
@@ -12,45 +13,48 @@
 import { ScalingOrders } from "./scaling-orders.js";
 import { UsageReports, type DutySource, type TrueTime, type UsageCounts } from "./usage-reports.js";
 
-/** How the platform is called; an adapter speaks its language. */
+/** Client of the platform; an adapter implements its protocol. */
 export interface DutyPlatform {
-  /** Makes a call, unless `sendBy` is over before its first byte goes out; never rejects. */
+  /** Makes a call, unless `sendBy` has passed before its first byte is sent. The promise never rejects. */
   call(call: DutyCall): Promise<DutyOutcome>;
-  /** Ends what is under way. */
+  /** Aborts the calls in flight. */
   close(): void;
 }
 
-/** What a control machine that may win rounds knows of the group. */
+/** What a control machine in quorum contact knows of the control group; only such a machine may win rounds. */
 export interface DutyGround {
+  /** Position of this machine in the view of the control group. */
   readonly place: number;
   readonly members: number;
   readonly records: DutyRecords;
-  /** Whether there is a configuration: before there is one, nothing is served. */
+  /** Whether a configuration is in force; before the first one, nothing is served. */
   readonly isConfigured: boolean;
 }
 
-/** What the service is made of. */
+/** Dependencies of the service. */
 export interface DutyServiceOptions {
   readonly name: string;
   readonly bounds: DutyBounds;
   readonly platform: DutyPlatform;
   readonly log: Log;
-  /** Usage as this machine knows it, and the time by which its windows are told apart. */
+  /** Usage as this machine knows it. */
   readonly counts: UsageCounts;
+  /** The clock that divides time into usage windows. */
   readonly time: TrueTime;
-  /** What the number of runners goes by, as this machine knows it. */
+  /** The input of scaling decisions, as this machine knows it. */
   readonly scalingFacts: (now: number) => ScalingFacts;
-  readonly inquire: (command: ControlCommand, told: (outcome: ControlOutcome) => void) => void;
+  /** Runs a command at the head of the control chain. */
+  readonly inquire: (command: ControlCommand, complete: (outcome: ControlOutcome) => void) => void;
 }
 
-/** Duties of a control process: the performer between the group and the platform (docs/design.md §14). */
+/** Connects the performer of duties to the control group and to the platform. */
 export class DutyService {
   readonly #options: DutyServiceOptions;
   readonly #performer: DutyPerformer;
   readonly #usage: UsageReports;
   readonly #sources: DutySource[] = [];
-  /** ms, monotonic. Since when this machine may win rounds without a break. */
-  #groundSince: number | undefined;
+  /** Since when this machine may win rounds without interruption, in monotonic ms. */
+  #eligibleSince: number | undefined;
 
   constructor(options: DutyServiceOptions) {
     this.#options = options;
@@ -62,10 +66,13 @@
     if (bounds.kinds.includes("scaling")) this.#sources.push(new ScalingOrders(bounds, planned));
   }
 
-  /** Time passes; without ground, and until nodes had time to tell it their counts, this machine claims nothing. */
+  /**
+   * Advances the clock. This machine claims nothing while `ground` is undefined, nor until nodes had time to report their usage
+   * counts to it.
+   */
   beat(now: number, ground: DutyGround | undefined): void {
-    this.#groundSince = ground === undefined ? undefined : (this.#groundSince ?? now);
-    if (ground === undefined || now - this.#groundSince! < constants.dutySettles) return;
+    this.#eligibleSince = ground === undefined ? undefined : (this.#eligibleSince ?? now);
+    if (ground === undefined || now - this.#eligibleSince! < constants.dutySettles) return;
     if (ground.isConfigured) this.#usage.begin(now);
     const { place, members, records } = ground;
     const due = this.#due(now, records);
@@ -78,7 +85,7 @@
     return due;
   }
 
-  /** For operators. */
+  /** Status of all duties for operators. */
   status(now: number, records: DutyRecords): Record<string, SubjectStatus> {
     return dutyStatus(records, this.#due(now, records), now);
   }
@@ -96,10 +103,10 @@
 
   #inquire(ticket: string, command: ControlCommand): void {
     const self = this;
-    function told(outcome: ControlOutcome): void {
+    function complete(outcome: ControlOutcome): void {
       self.#perform(self.#performer.inquired(ticket, outcome, monotonic()));
     }
-    this.#options.inquire(command, told);
+    this.#options.inquire(command, complete);
   }
 
   async #call(ticket: string, call: DutyCall): Promise<void> {
@@ -109,7 +116,7 @@
     metrics.noted(`duty call ${outcome}`);
     const { act, fence } = call;
     const took = Math.round(now - since);
-    this.#options.log.info({ ...act, fence, outcome, took }, "a call of a duty");
+    this.#options.log.info({ ...act, fence, outcome, took }, "duty call finished");
     this.#perform(this.#performer.called(ticket, outcome, now));
   }
 }
--- a/packages/control/src/duties/duty-status.ts
+++ b/packages/control/src/duties/duty-status.ts
@@ -1,22 +1,25 @@
+/** Status of duties for operators. */
 import type { DueAct } from "./duty-acts.js";
 import type { FinishedAct } from "./duty-ledger.js";
 import type { DutyRecords, DutySubject } from "./duty-records.js";
 import { numberRanges } from "./number-ranges.js";
 
-/** A subject of a duty, for operators. */
+/** Status of one subject of a duty. */
 export interface SubjectStatus {
-  /** Who won the last round, and with which fence; none where no act was due yet. */
+  /** The machine that won the last round; undefined if no act was due yet. */
   readonly holder?: string;
+  /** Fencing number of the last round. */
   readonly fence?: number;
-  /** The act that the platform took last, by whom. */
+  /** The act that the platform accepted last. */
   readonly last?: FinishedAct;
-  /** Acts that are decided and not taken, and those so late that any machine takes them over; the oldest ones. */
+  /** The oldest acts that are decided but not accepted yet. */
   readonly open: readonly number[];
+  /** The oldest acts that are so late that any machine may take them over. */
   readonly overdue: readonly number[];
 }
 
-/** acts. Told of each kind, at most. */
-const toldMost = 10;
+/** Maximum number of acts in each list. */
+const maxListedActs = 10;
 
 /** Status of all duties, by duty and subject. */
 export function dutyStatus(
@@ -28,12 +31,12 @@
   const overdue = due.filter(isOverdue, { records, now });
   for (const subject of subjectsOf(records, overdue)) {
     const record = records.record(subject);
-    const numbers = overdue.filter(isOf, subject).map(({ number }) => number);
+    const numbers = overdue.filter(belongsTo, subject).map(({ number }) => number);
     status[`${subject.duty}/${subject.subject}`] = {
       ...(record === undefined ? {} : { holder: record.holder, fence: record.fence }),
       ...(record?.last === undefined ? {} : { last: record.last }),
-      open: (record?.open ?? []).slice(0, toldMost),
-      overdue: numbers.slice(0, toldMost),
+      open: (record?.open ?? []).slice(0, maxListedActs),
+      overdue: numbers.slice(0, maxListedActs),
     };
   }
   return status;
@@ -44,12 +47,13 @@
   return !numberRanges.has(this.records.record(act)?.finished ?? [], act.number);
 }
 
-function isOf(this: DutySubject, { duty, subject }: DueAct): boolean {
+function belongsTo(this: DutySubject, { duty, subject }: DueAct): boolean {
   return duty === this.duty && subject === this.subject;
 }
 
 function subjectsOf(records: DutyRecords, acts: readonly DueAct[]): DutySubject[] {
   const subjects = [...records.all()].map(([subject]) => subject);
-  for (const act of acts) if (!subjects.some((known) => isOf.call(known, act))) subjects.push(act);
+  for (const act of acts)
+    if (!subjects.some((known) => belongsTo.call(known, act))) subjects.push(act);
   return subjects;
 }
--- a/packages/control/src/duties/number-ranges.ts
+++ b/packages/control/src/duties/number-ranges.ts
@@ -1,14 +1,14 @@
-/** Whole numbers from the first to the last, both included. */
+/** A range of whole numbers; both ends are included. */
 export type NumberRange = readonly [first: number, last: number];
 
-/** A set of whole numbers as disjoint ranges in ascending order, none of them next to another. */
+/** A set of whole numbers as disjoint, non-adjacent ranges in ascending order. */
 export type NumberRanges = readonly NumberRange[];
 
 function has(ranges: NumberRanges, number: number): boolean {
   return ranges.some(([first, last]) => first <= number && number <= last);
 }
 
-/** The same with all numbers of a range; ranges that meet become one. */
+/** The set with a range added; overlapping and adjacent ranges are merged. */
 function add(ranges: NumberRanges, added: NumberRange): NumberRanges {
   let [first, last] = added;
   const before: NumberRange[] = [];
@@ -24,7 +24,7 @@
   return [...before, [first, last], ...after];
 }
 
-/** The same in at most so many ranges: the lowest ones are joined, with what lies between them. */
+/** The set in at most `most` ranges: the lowest ranges are merged, including the gaps between them. */
 function bounded(ranges: NumberRanges, most: number): NumberRanges {
   const excess = ranges.length - most;
   if (excess <= 0) return ranges;
--- a/packages/control/src/duties/ordered-runners.ts
+++ b/packages/control/src/duties/ordered-runners.ts
@@ -1,7 +1,7 @@
 import type { ScalingOrder } from "../scaling/pool-scaler.js";
 import type { DutyRecords } from "./duty-records.js";
 
-/** Runners that stand ordered, by pool and zone: as was decided last, whether the platform has taken it yet or not. */
+/** The ordered number of runners by pool and zone: the last decision, whether the platform has accepted it yet or not. */
 export function orderedRunners(
   records: DutyRecords,
 ): ReadonlyMap<string, ReadonlyMap<string, number>> {
--- a/packages/control/src/duties/planned-scaling.ts
+++ b/packages/control/src/duties/planned-scaling.ts
@@ -1,10 +1,11 @@
+/** Caches the desired numbers of runners between planning rounds. */
 import { constants } from "@chutewick/parts";
 import type { ScalingOrder } from "../scaling/pool-scaler.js";
 import type { ScalingFacts } from "../scaling/scaling-facts.js";
 import { ScalingPlanner } from "../scaling/scaling-planner.js";
 import type { ScalingDemand } from "./scaling-orders.js";
 
-/** The planner's wishes, worked out anew now and then: each look goes through all sessions. */
+/** The orders of the planner, recomputed at intervals only, because each computation reads all sessions. */
 export class PlannedScaling implements ScalingDemand {
   readonly #planner = new ScalingPlanner();
   readonly #facts: (now: number) => ScalingFacts;
--- a/packages/control/src/duties/scaling-orders.ts
+++ b/packages/control/src/duties/scaling-orders.ts
@@ -1,19 +1,20 @@
+/** Decides which orders of scaling are due. */
 import { constants, type DutyBounds } from "@chutewick/parts";
 import type { ScalingOrder } from "../scaling/pool-scaler.js";
 import type { DueAct } from "./duty-acts.js";
 import type { DutyRecords, DutySubject } from "./duty-records.js";
 import type { DutySource } from "./usage-reports.js";
 
-/** Knows how many runners there are to be, for each pool and zone. */
+/** The desired number of runners for each pool and zone. */
 export interface ScalingDemand {
   desired(now: number): Iterable<ScalingOrder>;
 }
 
-/** Orders of scaling that are due: where the desired count is not the one that was decided last. */
+/** Orders of scaling: one is due for each subject whose desired count differs from the last decided one. */
 export class ScalingOrders implements DutySource {
   readonly #bounds: DutyBounds;
   readonly #demand: ScalingDemand;
-  /** ms. Since when the desired count of a subject differs from what was decided. */
+  /** Since when the desired count of each subject differs from the decided one, in monotonic ms. */
   #differsSince = new Map<string, number>();
 
   constructor(bounds: DutyBounds, demand: ScalingDemand) {
--- a/packages/control/src/duties/subject-performer.ts
+++ b/packages/control/src/duties/subject-performer.ts
@@ -1,3 +1,4 @@
+/** Performs the acts of one subject of a duty, without I/O (docs/design.md §14). */
 import { constants, dutyBounds, type DutyBounds } from "@chutewick/parts";
 import { Backoff } from "./backoff.js";
 import { isSuperseding, type ActBody, type ActName, type DueAct } from "./duty-acts.js";
@@ -6,52 +7,53 @@
 import type { DutySubject } from "./duty-records.js";
 import { numberRanges } from "./number-ranges.js";
 
-/** What a machine is, to one that performs duties. */
+/** Identity and settings of the control machine that performs duties. */
 export interface DutyMachine {
   /** Its name in the deployment. */
   readonly name: string;
   readonly bounds: DutyBounds;
-  /** Numbers from 0 to 1, for pauses. */
+  /** Random numbers from 0 to 1, for the jitter of pauses. */
   readonly random: () => number;
 }
 
-/** What holds at a moment. */
+/** State that the acts of a subject depend on, at one moment. */
 export interface SubjectSituation {
   readonly now: number;
-  /** Place of this machine in the view of the control group; the first one claims first where nobody has. */
+  /** Position of this machine in the view of the control group. The first one (0) claims subjects that have no holder. */
   readonly place: number;
-  /** As confirmed, as far as this machine knows. */
+  /** The last committed record that this machine knows. */
   readonly record: DutyRecord | undefined;
   /** Acts of the subject that are due or open, ascending by number. */
   readonly acts: readonly DueAct[];
-  /** Whether this machine's part of what the platform takes leaves a call now. */
+  /** Whether this machine's part of the call rate of the platform allows a call now. */
   readonly mayCall: boolean;
 }
 
-/** A round that was asked for. */
+/** A round (a claim of one act) that was requested. */
 interface Claim {
   readonly ticket: string;
   readonly act: ActName;
-  /** ms. The round counts from here on. */
+  /** When the round was requested, in monotonic ms; its validity starts here. */
   readonly askedAt: number;
 }
 
-/** A call that is on its way. */
+/** A call in flight. */
 interface Call {
   readonly ticket: string;
   readonly act: ActName;
   readonly fence: number;
 }
 
-/** One that this machine won. */
-interface Won {
+/** A round that this machine won. */
+interface WonRound {
   readonly fence: number;
   readonly body: ActBody;
 }
 
 /**
- * Performs the acts of one subject, one after another: claims a round, calls under it, and tells the group what the platform
- * took. A round counts for one call, and for a short time since it was asked for (docs/design.md §14).
+ * Performs the acts of one subject one after another: it claims a round, makes a call in it, and reports to the control group
+ * which acts the platform accepted. A round is valid for one call, and only for a short time after it was requested
+ * (docs/design.md §14).
  */
 export class SubjectPerformer {
   readonly #machine: DutyMachine;
@@ -59,19 +61,20 @@
   readonly #backoff: Backoff;
   #claim: Claim | undefined;
   #call: Call | undefined;
-  /** Acts that the platform took, until the group has confirmed that it knows; with the ticket of the inquiry under way. */
-  readonly #taken = new Map<number, string | undefined>();
-  /** The newest fence that this machine won. */
+  /** Acts that the platform accepted and that are not committed as finished yet, with the ticket of the command in progress. */
+  readonly #acceptedActs = new Map<number, string | undefined>();
+  /** The newest fencing number that this machine won. */
   #wonFence = 0;
-  /** The fence with which the platform answered that it has seen a higher one. */
+  /** The fencing number that the platform rejected because it has seen a higher one. */
   #outdatedFence: number | undefined;
-  /** The last round that was seen in the record, by whomever, and when. */
+  /** Time of the last round in the record, of any holder, and when this machine saw it. */
   #seenRound = Number.NEGATIVE_INFINITY;
   #seenAt = Number.NEGATIVE_INFINITY;
-  /** Another one's lease is not over before. */
+  /** The lease of another holder does not end before this time. */
   #heldUntil = Number.NEGATIVE_INFINITY;
-  /** Calls in a row that got no answer, and until when others are left the first go for it. */
-  #lostInRow = 0;
+  /** Consecutive calls without an answer. */
+  #consecutiveLostCalls = 0;
+  /** This machine claims nothing before this time, so that another one can try. */
   #yieldsUntil = Number.NEGATIVE_INFINITY;
   #ticketNumber = 0;
 
@@ -81,31 +84,31 @@
     this.#backoff = new Backoff(machine.random);
   }
 
-  /** Time passes. */
+  /** Advances the clock; returns the commands that are due. */
   beat(situation: SubjectSituation): DutyOutput[] {
-    this.#see(situation);
-    const outputs = this.#finishAll(situation);
+    this.#observeRound(situation);
+    const outputs = this.#finishAccepted(situation);
     if (this.#claim !== undefined && situation.now > this.#freshUntil(this.#claim))
       this.#claim = undefined;
     if (this.#claim !== undefined || this.#call !== undefined) return outputs;
-    const act = this.#next(situation);
+    const act = this.#nextAct(situation);
     if (act !== undefined && this.#mayClaim(act, situation))
-      outputs.push(this.#ask(act, situation));
+      outputs.push(this.#requestRound(act, situation));
     return outputs;
   }
 
-  #see({ record, now }: SubjectSituation): void {
+  #observeRound({ record, now }: SubjectSituation): void {
     if (record === undefined || record.at === this.#seenRound) return;
     this.#seenRound = record.at;
     this.#seenAt = now;
   }
 
-  /** The oldest act that the platform has not taken. */
-  #next({ record, acts }: SubjectSituation): DueAct | undefined {
+  /** The oldest act that the platform has not accepted. */
+  #nextAct({ record, acts }: SubjectSituation): DueAct | undefined {
     const candidates = isSuperseding(this.#subject.duty) ? acts.slice(-1) : acts;
     for (const act of candidates) {
       const isFinished = record !== undefined && numberRanges.has(record.finished, act.number);
-      if (!isFinished && !this.#taken.has(act.number)) return act;
+      if (!isFinished && !this.#acceptedActs.has(act.number)) return act;
     }
     return undefined;
   }
@@ -115,18 +118,18 @@
     if (now < this.#yieldsUntil || !this.#backoff.isOver(now)) return false;
     if (this.#isHolder(record)) return true;
     if (record === undefined && place === 0) return true;
-    const patience = place * constants.takeoverStagger;
+    const stagger = place * constants.takeoverStagger;
     const isLeaseOver = now >= Math.max(this.#seenAt + this.#machine.bounds.lease, this.#heldUntil);
-    return isLeaseOver && now >= act.takeoverAt + patience;
+    return isLeaseOver && now >= act.takeoverAt + stagger;
   }
 
-  /** Whether this machine won last, as far as it knows: its own word may be newer than the record here. */
+  /** Whether this machine won the last known round. Its own results may be newer than its copy of the record. */
   #isHolder(record: DutyRecord | undefined): boolean {
     if (record === undefined || record.fence < this.#wonFence) return this.#wonFence > 0;
     return record.holder === this.#machine.name;
   }
 
-  #ask({ number, body }: DueAct, { record, now }: SubjectSituation): DutyOutput {
+  #requestRound({ number, body }: DueAct, { record, now }: SubjectSituation): DutyOutput {
     const act: ActName = { ...this.#subject, number };
     const ticket = this.#ticket();
     this.#claim = { ticket, act, askedAt: now };
@@ -145,20 +148,21 @@
     };
   }
 
-  /** Where the newest fence of the ledger is too low for the platform, the next one is to be well above. */
+  /** The minimum for the next fencing number if the platform rejected the newest one of the ledger as too low. */
   #fenceAtLeast(record: DutyRecord | undefined): number | undefined {
     if (this.#outdatedFence === undefined || record === undefined) return undefined;
     const isNewest = record.holder === this.#machine.name && record.fence === this.#outdatedFence;
     return isNewest ? this.#outdatedFence * 2 : undefined;
   }
 
+  /** When a round expires, in monotonic ms. */
   #freshUntil({ askedAt }: Claim): number {
     return askedAt + dutyBounds.freshFor(this.#machine.bounds);
   }
 
-  /** What became of a command under one of this subject's tickets. */
+  /** Handles the outcome of a command with a ticket of this subject. */
   inquired(ticket: string, outcome: DutyInquiryOutcome, now: number): DutyOutput[] {
-    this.#told(ticket, outcome);
+    this.#retryUncommitted(ticket, outcome);
     if (this.#claim?.ticket !== ticket) return [];
     const claim = this.#claim;
     this.#claim = undefined;
@@ -168,18 +172,18 @@
     }
     switch (outcome.value.kind) {
       case "ACT_FINISHED":
-        this.#taken.set(claim.act.number, "known");
+        this.#acceptedActs.set(claim.act.number, "known");
         return [];
       case "ACT_HELD":
         this.#wonFence = 0;
         this.#heldUntil = now + outcome.value.wait;
         return [];
       case "ACT_WON":
-        return this.#won(claim, outcome.value, now);
+        return this.#startCall(claim, outcome.value, now);
     }
   }
 
-  #won(claim: Claim, { fence, body }: Won, now: number): DutyOutput[] {
+  #startCall(claim: Claim, { fence, body }: WonRound, now: number): DutyOutput[] {
     this.#wonFence = fence;
     const sendBy = this.#freshUntil(claim);
     if (now > sendBy) return [];
@@ -187,17 +191,17 @@
     const ticket = this.#ticket();
     this.#call = { ticket, act, fence };
     const holder = this.#machine.name;
-    const patience = this.#patience;
+    const patience = this.#callTimeoutMs;
     return [{ kind: "call", ticket, call: { act, body, holder, fence, sendBy, patience } }];
   }
 
-  /** Longer after each call without an answer, as the platform may only be slow. */
-  get #patience(): number {
-    const longer = constants.dutyCallPatience * 2 ** this.#lostInRow;
-    return Math.min(longer, constants.dutyCallPatienceMost);
+  /** Timeout of the next call. It doubles after each call without an answer, as the platform may only be slow. */
+  get #callTimeoutMs(): number {
+    const timeoutMs = constants.dutyCallPatience * 2 ** this.#consecutiveLostCalls;
+    return Math.min(timeoutMs, constants.dutyCallPatienceMost);
   }
 
-  /** What became of a call under one of this subject's tickets. */
+  /** Handles the outcome of a call with a ticket of this subject. */
   called(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
     if (this.#call?.ticket !== ticket) return [];
     const { act, fence } = this.#call;
@@ -206,57 +210,58 @@
       case "taken":
       case "rejected":
         this.#backoff.succeeded();
-        this.#lostInRow = 0;
+        this.#consecutiveLostCalls = 0;
         this.#outdatedFence = undefined;
-        this.#taken.set(act.number, undefined);
-        return [this.#finish(act.number)];
+        this.#acceptedActs.set(act.number, undefined);
+        return [this.#reportFinished(act.number)];
       case "outdated":
         this.#outdatedFence = fence;
         this.#backoff.pause(constants.dutyOutdatedPause, now);
         return [];
       case "busy":
-        this.#lostInRow = 0;
+        this.#consecutiveLostCalls = 0;
         this.#backoff.failed(now);
         return [];
       case "lost":
       case "unsent":
-        this.#lost(now);
+        this.#handleLostCall(now);
         return [];
     }
   }
 
-  /** A machine that does not reach the platform leaves it to the others to try. */
-  #lost(now: number): void {
-    this.#lostInRow += 1;
+  /** Backs off after a call without an answer; after several in a row, lets the other machines try for a while. */
+  #handleLostCall(now: number): void {
+    this.#consecutiveLostCalls += 1;
     this.#backoff.failed(now);
-    if (this.#lostInRow % constants.dutyTriesUntilYield !== 0) return;
+    if (this.#consecutiveLostCalls % constants.dutyTriesUntilYield !== 0) return;
     this.#yieldsUntil = now + this.#machine.bounds.lease * constants.dutyYieldLeases;
   }
 
-  /** Tells the group again what it has not confirmed, and forgets what it has. */
-  #finishAll({ record }: SubjectSituation): DutyOutput[] {
+  /** Reports accepted acts that are not committed as finished, and forgets those that are. */
+  #finishAccepted({ record }: SubjectSituation): DutyOutput[] {
     const outputs: DutyOutput[] = [];
-    for (const [number, ticket] of this.#taken) {
+    for (const [number, ticket] of this.#acceptedActs) {
       if (record !== undefined && numberRanges.has(record.finished, number))
-        this.#taken.delete(number);
-      else if (ticket === undefined) outputs.push(this.#finish(number));
+        this.#acceptedActs.delete(number);
+      else if (ticket === undefined) outputs.push(this.#reportFinished(number));
     }
     return outputs;
   }
 
-  #finish(number: number): DutyOutput {
+  /** Reports to the control group that the platform accepted an act. */
+  #reportFinished(number: number): DutyOutput {
     const ticket = this.#ticket();
-    this.#taken.set(number, ticket);
+    this.#acceptedActs.set(number, ticket);
     const holder = this.#machine.name;
     const command = { kind: "finish-act", ...this.#subject, number, holder } as const;
     return { kind: "inquire", ticket, command };
   }
 
-  /** What was not confirmed is told again with the next beat. */
-  #told(ticket: string, outcome: DutyInquiryOutcome): void {
+  /** Marks acts whose report was not committed, so that the next tick reports them again. */
+  #retryUncommitted(ticket: string, outcome: DutyInquiryOutcome): void {
     if (outcome.kind === "confirmed") return;
-    for (const [number, told] of this.#taken)
-      if (told === ticket) this.#taken.set(number, undefined);
+    for (const [number, reportTicket] of this.#acceptedActs)
+      if (reportTicket === ticket) this.#acceptedActs.set(number, undefined);
   }
 
   #ticket(): string {
--- a/packages/control/src/explain.ts
+++ b/packages/control/src/explain.ts
@@ -1,3 +1,4 @@
+/** Explains to operators which season governs a lot, and previews a new season (docs/design.md §8.9). */
 import {
   constants,
   season as seasons,
@@ -10,18 +11,19 @@
 import { standingClasses, type QueueStanding } from "./machine.js";
 import { governingIn, type ShareReport } from "./pace.js";
 
-/** What an operator asks about seasons: what holds for a way, a model or a lot (docs/design.md §8.9). */
+/** An operator's query: which season governs lots of a way, a model or an adapter. */
 export interface Asked {
   readonly way?: string;
   readonly model?: string;
   readonly adapter?: string;
-  /** Labels that a lot would bring. */
+  /** Labels of the lot itself. */
   readonly labels: Labels;
 }
 
-/** State of the control group that an explanation is made from. */
+/** State of the control group that explanations are derived from. */
 export interface Known {
   readonly value: Configuration;
+  /** Wall-clock time in ms. */
   readonly wall: number;
   readonly standings: ReadonlyMap<string, QueueStanding>;
   readonly reports: ReadonlyMap<string, ShareReport>;
@@ -37,12 +39,13 @@
   return { kind: "REFUSED", reason };
 }
 
-function planOf(asked: Asked, value: Configuration): QueuePlan | string {
-  let { model, adapter } = asked;
-  if (asked.way !== undefined) {
-    const way = Object.hasOwn(value.ways, asked.way) ? value.ways[asked.way] : undefined;
-    if (way === undefined) return `way: there is no way ${asked.way}`;
-    if (way.kind !== "lot") return `way: ${asked.way} takes no lots, and seasons govern lots`;
+/** The queue that a query is about, or why there is none. */
+function planOf(query: Asked, value: Configuration): QueuePlan | string {
+  let { model, adapter } = query;
+  if (query.way !== undefined) {
+    const way = Object.hasOwn(value.ways, query.way) ? value.ways[query.way] : undefined;
+    if (way === undefined) return `way: there is no way ${query.way}`;
+    if (way.kind !== "lot") return `way: ${query.way} takes no lots, and seasons govern lots`;
     ({ model, adapter } = way);
   }
   if (model === undefined) return "model: name a model or a way";
@@ -53,24 +56,24 @@
   );
 }
 
-/** What holds for lots of a way, model or adapter with these labels now, and why. */
-function explain(asked: Asked, known: Known): Explained {
-  const plan = planOf(asked, known.value);
+/** The season, share and throttle that currently apply to lots with these labels, and why. */
+function explain(query: Asked, known: Known): Explained {
+  const plan = planOf(query, known.value);
   if (typeof plan === "string") return refused(plan);
   const labels: Labels = {
-    ...asked.labels,
-    ...(asked.way === undefined ? {} : { ...known.value.ways[asked.way]!.labels, way: asked.way }),
+    ...query.labels,
+    ...(query.way === undefined ? {} : { ...known.value.ways[query.way]!.labels, way: query.way }),
     ...plan.labels,
   };
   const calendar = configuration.seasonsOf(known.value, known.wall);
   const governing = seasons.deciding(calendar, labels, known.wall);
   const name = governing?.name ?? "";
-  const standing = known.standings.get(plan.queue);
-  const held = standingClasses(standing).find(isSeason, { season: name });
-  const told = known.reports.get(plan.queue)?.classes.get(name);
-  const mine: Season[] = [];
-  for (const one of calendar) if (seasons.matches(one.select, labels)) mine.push(one);
-  const next = seasons.nextChange(mine, known.wall);
+  const quota = known.standings.get(plan.queue);
+  const share = standingClasses(quota).find(isSeason, { season: name });
+  const report = known.reports.get(plan.queue)?.classes.get(name);
+  const matching: Season[] = [];
+  for (const season of calendar) if (seasons.matches(season.select, labels)) matching.push(season);
+  const next = seasons.nextChange(matching, known.wall);
   const chosen = runnersFor(plan, governing?.runners ?? [], known.runners);
   return {
     kind: "EXPLAINED",
@@ -82,38 +85,39 @@
         ? {}
         : { opensAt: iso(governing.start), closesAt: iso(governing.end) }),
       allowance: governing?.waiting ?? plan.waiting,
-      shareOfThisQueue: held?.target ?? 0,
-      stillGranted: held?.granted ?? 0,
-      mayComeToWait: told?.held ?? null,
-      waitingOrRefusedLately: told?.need ?? null,
-      bucket: standing?.base ?? plan.limits,
-      pace: standing?.limits ?? null,
-      eighthsOfBucket: standing?.pace ?? null,
+      shareOfThisQueue: share?.target ?? 0,
+      stillGranted: share?.granted ?? 0,
+      mayComeToWait: report?.held ?? null,
+      waitingOrRefusedLately: report?.need ?? null,
+      bucket: quota?.base ?? plan.limits,
+      pace: quota?.limits ?? null,
+      eighthsOfBucket: quota?.pace ?? null,
       runners: chosen,
       nextChange: next === undefined ? null : iso(next),
-      why: why(governing, mine, known, standing, chosen.length),
+      why: reasonFor(governing, matching, known, quota, chosen.length),
     },
   };
 }
 
-function why(
+/** The explanation as a sentence. */
+function reasonFor(
   governing: Season | undefined,
-  mine: readonly Season[],
+  matching: readonly Season[],
   known: Known,
-  standing: QueueStanding | undefined,
+  quota: QueueStanding | undefined,
   runners: number,
 ): string {
   const parts: string[] = [];
   if (governing === undefined)
     parts.push(
-      mine.length === 0
+      matching.length === 0
         ? "no season selects these labels: the model's own waiting and bucket hold"
         : "a season selects these labels, but none is open now: the model's own waiting and bucket hold",
     );
   else {
     const others: string[] = [];
-    for (const one of seasons.opened(mine, known.wall))
-      if (one.name !== governing.name) others.push(one.name);
+    for (const season of seasons.opened(matching, known.wall))
+      if (season.name !== governing.name) others.push(season.name);
     parts.push(
       others.length === 0
         ? `season ${governing.name} is the only open one that selects these labels`
@@ -121,23 +125,24 @@
     );
     if (
       governing.limits !== undefined &&
-      standing !== undefined &&
-      JSON.stringify(standing.base) !== JSON.stringify(governing.limits)
+      quota !== undefined &&
+      JSON.stringify(quota.base) !== JSON.stringify(governing.limits)
     )
       parts.push(
         "its bucket does not hold here, since it does not select the queue by the labels of model and adapter alone, or a later one does",
       );
   }
   if (runners === 0) parts.push("no runner that is there now may take these lots, so they wait");
-  else if (standing !== undefined)
+  else if (quota !== undefined)
     parts.push(
-      standing.pace === constants.paceSteps
+      quota.pace === constants.paceSteps
         ? "live work leaves room for the whole pace"
-        : `live work leaves ${standing.pace} eighths of the pace`,
+        : `live work leaves ${quota.pace} eighths of the pace`,
     );
   return parts.join("; ");
 }
 
+/** Ids of the runners that serve a queue and match the selectors. */
 function runnersFor(
   plan: { model: string; queue: string },
   selectors: readonly Selector[],
@@ -153,19 +158,19 @@
   return found.sort();
 }
 
-/** What a season that is not entered yet would select, were it open now. */
+/** What a season that is not configured yet would select if it were open now. */
 function preview(input: unknown, known: Known): Explained {
-  const entered = configuration.check(
+  const others = configuration.check(
     configuration.patch(known.value, { seasons: { preview: null } }),
   );
-  if (!entered.ok) return refused(entered.reason);
+  if (!others.ok) return refused(others.reason);
   const checked = configuration.check({
-    ...entered.value,
-    seasons: { ...entered.value.seasons, preview: input },
+    ...others.value,
+    seasons: { ...others.value.seasons, preview: input },
   });
   if (!checked.ok) return refused(checked.reason.replaceAll("seasons.preview.", ""));
   const { value } = checked;
-  const one: Season = {
+  const season: Season = {
     name: "preview",
     start: 0,
     end: 1,
@@ -175,11 +180,11 @@
   };
   const queues: Record<string, unknown> = {};
   for (const plan of configuration.queues(value)) {
-    const { seasons: found, whole } = governingIn([one], plan, value);
+    const { seasons: found, whole } = governingIn([season], plan, value);
     if (found.length > 0)
       queues[plan.queue] = {
         lots: whole ? "all" : "those that bring or whose way has the labels",
-        runners: runnersFor(plan, one.runners, known.runners),
+        runners: runnersFor(plan, season.runners, known.runners),
       };
   }
   const ways: string[] = [];
@@ -188,19 +193,21 @@
     const plan = configuration
       .queues(value)
       .find(isQueue, { queue: configuration.queueOf(way.model!, way.adapter) })!;
-    if (seasons.mayMatch(one.select, { ...way.labels, ...plan.labels, way: name })) ways.push(name);
+    if (seasons.mayMatch(season.select, { ...way.labels, ...plan.labels, way: name }))
+      ways.push(name);
   }
-  const next: string[] = [];
+  const windows: string[] = [];
   for (const each of configuration.seasonsOf(value, known.wall))
-    if (each.name === "preview") next.push(`${iso(each.start)} to ${iso(each.end)}`);
-  const mine: string[] = [];
+    if (each.name === "preview") windows.push(`${iso(each.start)} to ${iso(each.end)}`);
+  const warnings: string[] = [];
   for (const warning of configuration.warnings(value))
-    if (warning.startsWith("seasons.preview.")) mine.push(warning.replace("seasons.preview.", ""));
-  return { kind: "EXPLAINED", value: { queues, ways, opens: next, warnings: mine } };
+    if (warning.startsWith("seasons.preview."))
+      warnings.push(warning.replace("seasons.preview.", ""));
+  return { kind: "EXPLAINED", value: { queues, ways, opens: windows, warnings } };
 }
 
-function iso(moment: number): string {
-  return new Date(moment).toISOString();
+function iso(time: number): string {
+  return new Date(time).toISOString();
 }
 
 function isQueue(this: { queue: string }, plan: { queue: string }): boolean {
--- a/packages/control/src/operator-replies.ts
+++ b/packages/control/src/operator-replies.ts
@@ -1,3 +1,4 @@
+/** HTTP replies of the built-in interface to operators (docs/interface.md). */
 import { metrics, reply, replyTrouble } from "@chutewick/shell";
 import { constants } from "@chutewick/parts";
 import type { ServerResponse } from "node:http";
@@ -5,34 +6,34 @@
 import { isClaimResult } from "./duties/duty-ledger.js";
 import type { ControlResult } from "./machine.js";
 
-/** Answers of our own interface to operators (docs/interface.md). */
-function tell(to: ServerResponse, result: ControlOutcome): void {
+/** Replies with the outcome of a control command. */
+function sendOutcome(response: ServerResponse, result: ControlOutcome): void {
   metrics.changed(result.kind === "confirmed" ? result.value.kind : result.kind);
   if (result.kind === "not-run")
-    return replyTrouble(to, 503, {
+    return replyTrouble(response, 503, {
       trouble: "not-run",
       reason: result.reason,
       retryAfter: constants.retryAfter,
     });
   if (result.kind === "unknown")
-    return replyTrouble(to, 504, {
+    return replyTrouble(response, 504, {
       trouble: "unknown",
       reason:
         "whether the change takes effect is not known yet; send it again with the same Idempotency-Key, or read the configuration and its mark",
     });
-  tellValue(to, result.value);
+  sendResult(response, result.value);
 }
 
-function tellValue(to: ServerResponse, value: ControlResult): void {
-  if (isClaimResult(value)) return reply(to, 200, { done: true });
+function sendResult(response: ServerResponse, value: ControlResult): void {
+  if (isClaimResult(value)) return reply(response, 200, { done: true });
   switch (value.kind) {
     case "IN_FORCE":
-      return reply(to, 200, {
+      return reply(response, 200, {
         mark: value.mark,
         ...(value.warnings === undefined ? {} : { warnings: value.warnings }),
       });
     case "CONFLICT":
-      return replyTrouble(to, 409, {
+      return replyTrouble(response, 409, {
         trouble: "conflict",
         reason: `the mark is ${value.mark} by now; nothing was changed`,
         mark: value.mark,
@@ -40,15 +41,15 @@
     case "UNKNOWN_MACHINE":
     case "TOO_FEW":
     case "REFUSED":
-      return replyTrouble(to, 422, { trouble: "refused", reason: value.reason });
+      return replyTrouble(response, 422, { trouble: "refused", reason: value.reason });
     case "UNDER_WAY":
     case "DONE":
-      return reply(to, 200, { done: true });
+      return reply(response, 200, { done: true });
     case "EMPTYING":
-      return reply(to, 200, { state: value.state ?? null });
+      return reply(response, 200, { state: value.state ?? null });
     case "CONFIGURATION":
       return reply(
-        to,
+        response,
         200,
         {
           mark: value.mark,
@@ -60,4 +61,4 @@
   }
 }
 
-export const operatorReplies = { tell };
+export const operatorReplies = { sendOutcome };
--- a/packages/control/src/published.ts
+++ b/packages/control/src/published.ts
@@ -2,16 +2,17 @@
 import { keys } from "./keys.js";
 
 /**
- * What of a control record goes to nodes with the feed: neither the operator's own text of the configuration nor the log of orders
- * nor duties, which only control machines read, and which would double what each change sends to each node.
+ * The part of a control record that the feed sends to nodes, or undefined if it sends none. The operator's original text of the
+ * configuration, the log of orders and the duties are left out: only control machines read them, and they would double the bytes
+ * that each change sends to each node.
  */
 export function published(key: string, value: unknown): unknown {
-  if (isOfControlAlone(key)) return undefined;
+  if (isInternalToControl(key)) return undefined;
   if (key !== keys.configuration) return value;
   const { origin: _origin, ...configuration } = value as MarkedConfiguration;
   return configuration;
 }
 
-function isOfControlAlone(key: string): boolean {
+function isInternalToControl(key: string): boolean {
   return key === keys.taken || key.startsWith(keys.duty) || key.startsWith(keys.act);
 }
--- a/packages/control/src/scaling/demand.ts
+++ b/packages/control/src/scaling/demand.ts
@@ -1,31 +1,32 @@
-/** How many runners a pool's work needs (docs/design.md §14.4). */
+/** The number of runners that the work of a pool needs (docs/design.md §14.4). */
 import { constants } from "@chutewick/parts";
 import type { PoolLoad } from "./scaling-facts.js";
 
-/** Work of one pool, smoothed. */
+/** The smoothed work of one pool. */
 export class Demand {
-  /** Live requests now, and what is usual of them and of items. */
+  /** Interactive requests, smoothed over a short time. */
   #live = 0;
+  /** Interactive requests and items, smoothed over a long time. */
   #usualLive = 0;
   #usualItems = 0;
-  /** Runners that serve, while their seats are full. */
+  /** Since when the slots of all runners have been full, and how many runners there are; undefined if they are not full. */
   #full: { readonly since: number; readonly runners: number } | undefined;
-  /** ms */
+  /** Monotonic time in ms of the last observation. */
   #observedAt: number | undefined;
 
   observe(load: PoolLoad, now: number): void {
     const { live, items } = load;
-    /** What is seen first is taken as it is. */
-    const passed = now - (this.#observedAt ?? Number.NEGATIVE_INFINITY);
+    // The first observation is used unsmoothed.
+    const elapsed = now - (this.#observedAt ?? Number.NEGATIVE_INFINITY);
     this.#observedAt = now;
-    const span = live > this.#live ? constants.scalingLiveUp : constants.scalingLiveDown;
-    this.#live = smoothed(this.#live, live, passed, span);
-    this.#usualLive = smoothed(this.#usualLive, live, passed, constants.scalingUsual);
-    this.#usualItems = smoothed(this.#usualItems, items, passed, constants.scalingUsual);
-    this.#observeSeats(load, now);
+    const timeConstant = live > this.#live ? constants.scalingLiveUp : constants.scalingLiveDown;
+    this.#live = smoothed(this.#live, live, elapsed, timeConstant);
+    this.#usualLive = smoothed(this.#usualLive, live, elapsed, constants.scalingUsual);
+    this.#usualItems = smoothed(this.#usualItems, items, elapsed, constants.scalingUsual);
+    this.#observeSlots(load, now);
   }
 
-  /** Live work is given room for a burst, since its runners would come too late; lots may wait a little. */
+  /** Reserves capacity for a burst of interactive requests, since new runners would start too late; lots can wait a little. */
   runners(seats: number, now: number): number {
     const live = Math.max(
       this.#live * constants.scalingGrowth,
@@ -37,7 +38,7 @@
     return Math.max(needed, Math.ceil(full.runners * constants.scalingFullGrowth));
   }
 
-  #observeSeats({ live, items, seats, zones }: PoolLoad, now: number): void {
+  #observeSlots({ live, items, seats, zones }: PoolLoad, now: number): void {
     let runners = 0;
     for (const zone of zones) runners += zone.runners;
     const isFull = runners > 0 && live + items >= runners * seats * constants.scalingFull;
@@ -45,6 +46,7 @@
   }
 }
 
-function smoothed(before: number, value: number, passed: number, span: number): number {
-  return before + (value - before) * (1 - Math.exp(-passed / span));
+/** Exponential smoothing over irregular intervals. */
+function smoothed(before: number, value: number, elapsed: number, timeConstant: number): number {
+  return before + (value - before) * (1 - Math.exp(-elapsed / timeConstant));
 }
--- a/packages/control/src/scaling/pool-scaler.ts
+++ b/packages/control/src/scaling/pool-scaler.ts
@@ -1,39 +1,39 @@
-/** The control loop of one pool's number of runners; without I/O (docs/design.md §14.4). */
+/** The control loop of the number of runners of one pool, without I/O (docs/design.md §14.4). */
 import { constants } from "@chutewick/parts";
 import { Demand } from "./demand.js";
 import type { PoolLoad, ScalingBounds } from "./scaling-facts.js";
 import { ZoneStanding } from "./zone-standing.js";
 
-/** How many runners of a pool are to be in a zone. */
+/** The desired number of runners of a pool in a zone. */
 export interface ScalingOrder {
   readonly pool: string;
   readonly zone: string;
   readonly desired: number;
 }
 
-/** A need at a moment. */
-interface NeedAt {
+/** The number of runners needed at one moment. */
+interface NeedSample {
   readonly needed: number;
   readonly at: number;
 }
 
 /**
- * Orders more runners at once when the work needs them, and fewer only after fewer were enough for long, one at a time. What it
- * orders follows from what stands ordered, so an order that was not carried out is made again.
+ * Orders more runners at once when the work needs them. Orders fewer one at a time, and only after fewer have been enough for a
+ * long time. Each order is computed from the currently ordered count, so an order that was not carried out is repeated.
  */
 export class PoolScaler {
   readonly #pool: string;
   readonly #zones = new Map<string, ZoneStanding>();
   readonly #demand = new Demand();
   readonly #startedAt: number;
-  /** Those of late that no later one reaches, the greatest first. */
-  #needs: NeedAt[] = [];
-  /** Of all zones, as it stood when last observed. */
+  /** Recent samples that no later sample reaches, the greatest first (a sliding-window maximum). */
+  #needs: NeedSample[] = [];
+  /** The ordered count of all zones when last observed. */
   #total: number | undefined;
   #changedAt = Number.NEGATIVE_INFINITY;
   #isRising: boolean | undefined;
   #turns = 0;
-  /** ms. When some work was unknown last: needs noted until then may be too low. */
+  /** The last time in monotonic ms at which some work was unknown: samples up to then may be too low. */
   #unknownAt = Number.NEGATIVE_INFINITY;
 
   constructor(pool: string, now: number) {
@@ -41,19 +41,19 @@
     this.#startedAt = now;
   }
 
-  /** How often orders changed from more to fewer or back. */
+  /** How often the ordered count changed its direction. */
   get turns(): number {
     return this.#turns;
   }
 
-  /** isWorkKnown: whether all nodes that have work under way are heard. */
+  /** @param isWorkKnown whether all nodes that have work in progress are reporting */
   orders(load: PoolLoad, isWorkKnown: boolean, now: number): ScalingOrder[] {
     this.#observe(load, now);
     if (!isWorkKnown) this.#unknownAt = now;
     const { bounds } = load;
     const lost = this.#lost(bounds.boot, now);
     const needed = this.#demand.runners(load.seats, now) + lost;
-    this.#remember(needed, bounds, now);
+    this.#recordNeed(needed, bounds, now);
     if (now - this.#startedAt < constants.scalingSettles) return [];
     const desired = this.#withinBounds(bounds);
     const total = sumOf(desired);
@@ -66,22 +66,22 @@
   #observe(load: PoolLoad, now: number): void {
     this.#demand.observe(load, now);
     for (const zone of load.zones) {
-      let standing = this.#zones.get(zone.zone);
-      if (standing === undefined) {
-        standing = new ZoneStanding();
-        this.#zones.set(zone.zone, standing);
+      let state = this.#zones.get(zone.zone);
+      if (state === undefined) {
+        state = new ZoneStanding();
+        this.#zones.set(zone.zone, state);
       }
-      standing.observe(zone, now);
+      state.observe(zone, now);
     }
-    /** A zone of which nothing is heard any more. */
-    for (const [zone, standing] of this.#zones)
+    // Zones that nothing is reported of any more.
+    for (const [zone, state] of this.#zones)
       if (load.zones.every((each) => each.zone !== zone))
-        standing.observe({ zone, runners: 0, ordered: undefined }, now);
-    if (load.zones.some(({ ordered }) => ordered !== undefined)) this.#noteChange(now);
+        state.observe({ zone, runners: 0, ordered: undefined }, now);
+    if (load.zones.some(({ ordered }) => ordered !== undefined)) this.#recordChange(now);
   }
 
-  /** Counts changes of direction of what stands ordered. */
-  #noteChange(now: number): void {
+  /** Counts changes of direction of the ordered count. */
+  #recordChange(now: number): void {
     let total = 0;
     for (const { ordered } of this.#zones.values()) total += ordered;
     const before = this.#total;
@@ -95,13 +95,13 @@
 
   #lost(boot: number, now: number): number {
     let lost = 0;
-    for (const standing of this.#zones.values()) lost += standing.lost(boot, now);
+    for (const zone of this.#zones.values()) lost += zone.lost(boot, now);
     return lost;
   }
 
-  #remember(needed: number, bounds: ScalingBounds, now: number): void {
-    const since = now - lowerAfter(bounds);
-    this.#needs = this.#needs.filter((held) => held.at >= since && held.needed > needed);
+  #recordNeed(needed: number, bounds: ScalingBounds, now: number): void {
+    const since = now - lowerAfterMs(bounds);
+    this.#needs = this.#needs.filter((sample) => sample.at >= since && sample.needed > needed);
     this.#needs.push({ needed, at: now });
   }
 
@@ -112,14 +112,14 @@
     return desired;
   }
 
-  /** In zones that stand, where there is room; the rest where much was lost. */
+  /** Adds runners in intact zones up to the maximum, and the rest in zones that have lost many. */
   #raise(desired: Map<string, number>, more: number, bounds: ScalingBounds, now: number): void {
-    const standing = [...this.#zones].filter(([, zone]) => !zone.isBroken(bounds.boot, now));
-    let left = this.#add(desired, standing, more, bounds.maximum);
+    const intact = [...this.#zones].filter(([, zone]) => !zone.isBroken(bounds.boot, now));
+    let left = this.#add(desired, intact, more, bounds.maximum);
     if (left > 0) left = this.#add(desired, [...this.#zones], left, bounds.maximum);
   }
 
-  /** @returns what found no room */
+  /** @returns the number of runners that could not be added */
   #add(
     desired: Map<string, number>,
     zones: readonly (readonly [string, ZoneStanding])[],
@@ -141,18 +141,19 @@
     if (most !== undefined) desired.set(most, desired.get(most)! - 1);
   }
 
-  /** Whether fewer were enough for long, and the last change is not recent. */
+  /** Whether fewer runners have been enough for a long time, and the last change is not recent. */
   #isLowLong(total: number, bounds: ScalingBounds, now: number): boolean {
     const slack = Math.max(1, Math.ceil(total * constants.scalingSpare));
     const highest = this.#needs[0]?.needed ?? total;
     return (
       highest <= total - slack &&
-      now - this.#startedAt >= lowerAfter(bounds) &&
-      now - this.#unknownAt >= lowerAfter(bounds) &&
+      now - this.#startedAt >= lowerAfterMs(bounds) &&
+      now - this.#unknownAt >= lowerAfterMs(bounds) &&
       now - this.#changedAt >= Math.max(bounds.boot, constants.scalingLowerEvery)
     );
   }
 
+  /** Orders for the zones whose desired count differs from the ordered one. */
   #changed(desired: ReadonlyMap<string, number>): ScalingOrder[] {
     const orders: ScalingOrder[] = [];
     for (const [zone, { ordered }] of this.#zones) {
@@ -163,8 +164,8 @@
   }
 }
 
-/** ms. Fewer must have been enough for so long. */
-function lowerAfter({ boot }: ScalingBounds): number {
+/** How long, in ms, fewer runners must have been enough before fewer are ordered. */
+function lowerAfterMs({ boot }: ScalingBounds): number {
   return Math.max(constants.scalingLowerAfter, constants.scalingLowerBoots * boot);
 }
 
@@ -174,7 +175,7 @@
   return sum;
 }
 
-/** The zone with the highest score; of several the first by name, so that all control machines choose alike. */
+/** The zone with the highest score. Ties are broken by name, so that all control machines choose the same zone. */
 function bestOf(
   zones: readonly (readonly [string, ZoneStanding])[],
   score: (zone: string, share: number) => number,
--- a/packages/control/src/scaling/scaling-facts.ts
+++ b/packages/control/src/scaling/scaling-facts.ts
@@ -1,68 +1,75 @@
-/** What the number of runners goes by, from sessions and the configuration (docs/design.md §14.4). */
+/** The input of scaling decisions, from sessions and the configuration (docs/design.md §14.4). */
 import type { RunnerCard, Sessions } from "@chutewick/parts";
 import type { Configuration } from "../configuration.js";
 
-/** Bounds of a pool's runners, in each zone by itself. */
+/** Bounds of the number of runners of a pool; they hold for each zone separately. */
 export interface ScalingBounds {
   readonly minimum: number;
   readonly maximum: number;
-  /** ms from the order of a runner until it serves. */
+  /** Time in ms from the order of a runner until it serves. */
   readonly boot: number;
 }
 
 /** Runners of a pool in one zone. */
 export interface ZoneRunners {
   readonly zone: string;
-  /** Those heard of. */
+  /** Runners that are reported. */
   readonly runners: number;
-  /** What stands ordered there; undefined where nothing was ordered yet. */
+  /** The ordered number of runners; undefined if none was ordered yet. */
   readonly ordered: number | undefined;
 }
 
-/** A pool whose runners are ordered. */
+/** The load of a pool whose runners are ordered from the platform. */
 export interface PoolLoad {
   readonly pool: string;
   readonly bounds: ScalingBounds;
-  /** Of one runner. */
+  /** Concurrency slots of one runner. */
   readonly seats: number;
-  /** Under way at its runners: live requests, and items of lots. */
+  /** Interactive requests in progress on its runners. */
   readonly live: number;
+  /** Items of lots in progress on its runners. */
   readonly items: number;
   readonly zones: readonly ZoneRunners[];
 }
 
-/** What a control machine knows at one moment. */
+/** The input of one planning round. */
 export interface ScalingFacts {
   readonly pools: readonly PoolLoad[];
-  /** Access nodes heard lately: where some are missing, so is their work. */
+  /** Access nodes with a recent heartbeat. The work of nodes that are missing is unknown. */
   readonly accessNodes: number;
 }
 
-/** Where facts come from. */
+/** The sources of the facts. */
 export interface ScalingSource {
   readonly configuration: Configuration;
   readonly sessions: Sessions;
-  /** What stands ordered of a pool in a zone, and all zones where something does. */
+  /** The ordered number of runners of a pool by zone; only zones with an order are present. */
   readonly ordered: (pool: string) => ReadonlyMap<string, number>;
 }
 
-/** Facts as the sessions of one control machine tell them. */
+/** Collects the facts from the sessions of one control machine. */
 export function scalingFactsOf(source: ScalingSource, now: number): ScalingFacts {
   const { configuration, sessions, ordered } = source;
   const access = sessions.live("access", now);
   const work = new Map<string, { live: number; items: number }>();
   for (const { telling } of access)
     for (const [runner, live, items] of telling.burdens ?? []) {
-      const held = work.get(runner) ?? { live: 0, items: 0 };
-      work.set(runner, { live: held.live + live, items: held.items + items });
+      const sum = work.get(runner) ?? { live: 0, items: 0 };
+      work.set(runner, { live: sum.live + live, items: sum.items + items });
     }
   const { runners } = sessions.registry(now);
   const pools: PoolLoad[] = [];
   for (const [pool, { scaling: bounds, seats }] of Object.entries(configuration.pools ?? {})) {
     if (bounds === undefined) continue;
-    const own = runners.filter((card) => card.pool === pool);
-    const zones = zonesOf(own, ordered(pool));
-    pools.push({ pool, bounds, seats: seats ?? usualSeats(own), ...sumOf(own, work), zones });
+    const poolRunners = runners.filter((card) => card.pool === pool);
+    const zones = zonesOf(poolRunners, ordered(pool));
+    pools.push({
+      pool,
+      bounds,
+      seats: seats ?? averageSlots(poolRunners),
+      ...sumOf(poolRunners, work),
+      zones,
+    });
   }
   return { pools, accessNodes: access.length };
 }
@@ -77,7 +84,7 @@
   return [...counts].map(([zone, count]) => ({ zone, runners: count, ordered: ordered.get(zone) }));
 }
 
-function usualSeats(runners: readonly RunnerCard[]): number {
+function averageSlots(runners: readonly RunnerCard[]): number {
   let sum = 0;
   for (const { seats } of runners) sum += seats;
   return runners.length === 0 ? 1 : Math.max(1, sum / runners.length);
--- a/packages/control/src/scaling/scaling-planner.ts
+++ b/packages/control/src/scaling/scaling-planner.ts
@@ -1,18 +1,19 @@
-/** How many runners there are to be of each pool in each zone; without I/O (docs/design.md §14.4). */
+/** Plans the number of runners of each pool in each zone, without I/O (docs/design.md §14.4). */
 import { constants } from "@chutewick/parts";
 import { PoolScaler, type ScalingOrder } from "./pool-scaler.js";
 import type { ScalingFacts } from "./scaling-facts.js";
 
-/** Plans for all pools whose runners may be ordered. */
+/** Plans all pools whose runners may be ordered. */
 export class ScalingPlanner {
   readonly #scalers = new Map<string, PoolScaler>();
-  /** The most access nodes that were heard at once. */
-  #nodesMost = 0;
+  /** The highest number of access nodes that were reporting at once. */
+  #maxAccessNodes = 0;
 
-  /** Orders that differ from what stands ordered; the same come again until they stand. */
+  /** Orders that differ from the currently ordered counts; each is repeated until it is in force. */
   orders({ pools, accessNodes }: ScalingFacts, now: number): ScalingOrder[] {
-    this.#nodesMost = Math.max(this.#nodesMost, accessNodes);
-    const isWorkKnown = accessNodes > 0 && accessNodes >= this.#nodesMost * constants.scalingHeard;
+    this.#maxAccessNodes = Math.max(this.#maxAccessNodes, accessNodes);
+    const isWorkKnown =
+      accessNodes > 0 && accessNodes >= this.#maxAccessNodes * constants.scalingHeard;
     const orders: ScalingOrder[] = [];
     for (const load of pools) {
       let scaler = this.#scalers.get(load.pool);
@@ -25,7 +26,7 @@
     return orders;
   }
 
-  /** How often orders of a pool changed from more to fewer or back. */
+  /** How often the ordered count of a pool changed its direction. */
   turnsOf(pool: string): number {
     return this.#scalers.get(pool)?.turns ?? 0;
   }
--- a/packages/control/src/scaling/zone-standing.ts
+++ b/packages/control/src/scaling/zone-standing.ts
@@ -1,37 +1,37 @@
-/** How a pool stands in one zone: what is ordered there and what came of it (docs/design.md §14.4). */
+/** The state of a pool in one zone: the ordered runners and the ones that serve (docs/design.md §14.4). */
 import { constants } from "@chutewick/parts";
 import type { ZoneRunners } from "./scaling-facts.js";
 
-/** Runners of one zone, as they were ordered and as they serve. */
+/** Ordered and serving runners of a pool in one zone. */
 export class ZoneStanding {
-  /** Runners here, of those that there were before anything was ordered: new ones are spread alike. */
+  /** Runners in this zone before the first order; new runners are spread over the zones in the same proportion. */
   share = 0;
-  /** What stands ordered, or the most ever seen where nothing was ordered yet. */
+  /** The ordered number of runners, or the highest number observed if none was ordered yet. */
   ordered = 0;
   #runners = 0;
-  /** The most that served of what stands ordered. */
+  /** The highest number of runners that served at once, up to the ordered number. */
   #served = 0;
-  /** ms. When it was ordered to be more. */
+  /** When the ordered number last rose, in monotonic ms. */
   #raisedAt = Number.NEGATIVE_INFINITY;
 
   observe({ runners, ordered }: ZoneRunners, now: number): void {
-    const standing = ordered ?? Math.max(this.ordered, runners);
-    if (ordered === undefined) this.share = standing;
+    const target = ordered ?? Math.max(this.ordered, runners);
+    if (ordered === undefined) this.share = target;
     else if (this.share === 0) this.share = Math.max(1, ordered);
-    if (ordered !== undefined && standing > this.ordered) this.#raisedAt = now;
-    this.ordered = standing;
+    if (ordered !== undefined && target > this.ordered) this.#raisedAt = now;
+    this.ordered = target;
     this.#runners = runners;
-    this.#served = Math.min(standing, Math.max(this.#served, runners));
+    this.#served = Math.min(target, Math.max(this.#served, runners));
   }
 
-  /** Runners that served, or should by now, and don't: of a zone that is dark, all of them. */
+  /** The number of runners that served, or should serve by now, but do not; in a failed zone, all of them. */
   lost(boot: number, now: number): number {
     const isBooted = now - this.#raisedAt > boot + constants.scalingBootLate;
     const expected = isBooted ? this.ordered : this.#served;
     return Math.max(0, expected - this.#runners);
   }
 
-  /** Whether so many are lost that new ones would hardly come up here. */
+  /** Whether so many runners are lost that new ones are unlikely to start in this zone. */
   isBroken(boot: number, now: number): boolean {
     return this.lost(boot, now) > this.ordered * constants.scalingZoneLost;
   }
--- a/packages/control/src/service.ts
+++ b/packages/control/src/service.ts
@@ -1,3 +1,4 @@
+/** The process of a control machine: it connects the core to sockets, disk and timers (docs/design.md §10). */
 import { createHash, randomUUID } from "node:crypto";
 import {
   Beat,
@@ -42,28 +43,31 @@
 import type { ControlCommand } from "./machine.js";
 import { operatorReplies } from "./operator-replies.js";
 
+/** Optional parts of a control process. */
 export interface ControlExtras {
+  /** Further interfaces for operators and runners. */
   readonly fronts?: readonly ControlFront[];
-  /** Where duties are performed; without it none are. */
+  /** The platform that duties are performed at; without it none are. */
   readonly dutyPlatform?: DutyPlatform;
 }
 
-/** The control process: sockets, folder and beats round the core (docs/design.md §10). */
+/** A control process: performs the outputs of the core and feeds it messages, commands and clock ticks. */
 export class ControlProcess {
   #log: Log;
   #core: ControlCore;
   #disk: Disk;
   #wire: Wire;
   #gateway: Gateway;
-  #beat = new Beat();
-  #waiting = new Map<string, (outcome: ControlOutcome) => void>();
-  #fronts: readonly ControlFront[];
+  #ticker = new Beat();
+  /** Callbacks of commands without an outcome so far, by ticket. */
+  #pendingCommands = new Map<string, (outcome: ControlOutcome) => void>();
+  #adapters: readonly ControlFront[];
   #duties: DutyService | undefined;
   #ticketNumber = 0;
 
   private constructor(settings: Settings, log: Log, disk: Disk, extras: ControlExtras) {
     this.#log = log;
-    this.#fronts = extras.fronts ?? [];
+    this.#adapters = extras.fronts ?? [];
     this.#disk = disk;
     const self = this;
     function receive(message: unknown, from: string): void {
@@ -88,7 +92,7 @@
     this.#gateway = new Gateway({
       address: settings.http,
       log,
-      owners: [this.#owner()],
+      owners: [this.#handlers()],
       openings: [
         ...operatorOpenings,
         { method: "GET", path: "/seasons/explain", event: "operator.explain" },
@@ -102,6 +106,7 @@
     });
   }
 
+  /** Opens the data folder and the sockets, and starts the process. */
   static async open(
     settings: Settings,
     log: Log,
@@ -113,25 +118,25 @@
     }
     const disk = await openDataFolder({ kind: "control", settings, log, conditionChanged });
     if (!disk.ok) return disk;
-    const held = disk.value;
-    const opened = new ControlProcess(settings, log, held, extras);
+    const dataFolder = disk.value;
+    const opened = new ControlProcess(settings, log, dataFolder, extras);
     running.process = opened;
     if (settings.duties !== undefined && extras.dutyPlatform !== undefined)
       opened.#duties = opened.#dutyService(settings.name, settings.duties, extras.dutyPlatform);
-    const trouble = await listen(opened.#wire, opened.#gateway);
-    if (trouble !== undefined) return outcome.bad(trouble);
-    function strike(now: number): void {
-      held.beat(now);
+    const listenError = await listen(opened.#wire, opened.#gateway);
+    if (listenError !== undefined) return outcome.bad(listenError);
+    function tick(now: number): void {
+      dataFolder.beat(now);
       opened.#perform(opened.#core.beat(now, Date.now()));
       opened.#wire.beat(now);
       opened.#duties?.beat(now, opened.#core.dutySituation(now));
     }
     opened.#perform(opened.#core.start(monotonic()));
-    opened.#beat.start(strike);
-    for (const front of opened.#fronts) await front.open(opened.#desk());
+    opened.#ticker.start(tick);
+    for (const adapter of opened.#adapters) await adapter.open(opened.#api());
     log.info(
       { identity: disk.value.identity, wire: settings.wire, http: settings.http },
-      "control machine is up",
+      "control machine is running",
     );
     return outcome.good(opened);
   }
@@ -140,28 +145,31 @@
     this.#perform(this.#core.diskChanged(condition, monotonic()));
   }
 
-  /** Planned stop: the others go on without it first, so that nobody waits for its silence (§8.6). */
+  /**
+   * Planned stop: first waits until the other control machines have removed this one from the view, so that none of them has to
+   * wait for its timeout (docs/design.md §8.6).
+   */
   async close(): Promise<void> {
     this.#perform(this.#core.leave(monotonic()));
     const self = this;
-    const until = monotonic() + constants.handOverPatience;
-    function handedOver(): boolean {
-      return !self.#core.isNeeded || monotonic() > until;
+    const deadline = monotonic() + constants.handOverPatience;
+    function isReleased(): boolean {
+      return !self.#core.isNeeded || monotonic() > deadline;
     }
-    await settled(handedOver);
+    await settled(isReleased);
     const closing = [this.#gateway.close(constants.ordersAnsweredWithin)];
-    for (const front of this.#fronts) closing.push(front.close());
+    for (const adapter of this.#adapters) closing.push(adapter.close());
     this.#duties?.close();
     await Promise.all(closing);
-    this.#beat.stop();
+    this.#ticker.stop();
     this.#wire.close();
     await this.#disk.close();
   }
 
   #dutyService(name: string, bounds: DutyBounds, platform: DutyPlatform): DutyService {
     const self = this;
-    function inquire(command: ControlCommand, told: (outcome: ControlOutcome) => void): void {
-      self.#enter(command, told);
+    function inquire(command: ControlCommand, complete: (outcome: ControlOutcome) => void): void {
+      self.#submit(command, complete);
     }
     return new DutyService({
       name,
@@ -175,16 +183,16 @@
     });
   }
 
-  /** What an interface beside our own may ask (§13.2). */
-  #desk(): ControlDesk {
+  /** The API for adapters (docs/design.md §13.2). */
+  #api(): ControlDesk {
     const self = this;
     function announce(card: Omit<RunnerCard, "age">, sequence: number): Announced["kind"] {
-      const { told, outputs } = self.#core.announce(card, sequence, monotonic());
+      const { told: acknowledgement, outputs } = self.#core.announce(card, sequence, monotonic());
       self.#perform(outputs);
-      return told.kind;
+      return acknowledgement.kind;
     }
-    function inquire(command: ControlCommand, told: (outcome: ControlOutcome) => void): void {
-      self.#enter(command, told);
+    function inquire(command: ControlCommand, complete: (outcome: ControlOutcome) => void): void {
+      self.#submit(command, complete);
     }
     function isReady(): boolean {
       return self.#core.view !== undefined;
@@ -192,8 +200,8 @@
     return { isReady, announce, inquire };
   }
 
-  /** Owner of all arrivals of this process. */
-  #owner(): ServiceSchema {
+  /** Handlers of the HTTP requests to this process. */
+  #handlers(): ServiceSchema {
     const self = this;
     function status(arrival: Arrival): void {
       reply(arrival.reply, 200, {
@@ -210,7 +218,7 @@
       self.#inquire(arrival, { kind: "read" });
     }
     function put(arrival: Arrival): void {
-      const expected = expectedMark(arrival);
+      const expected = expectedVersion(arrival);
       if (!expected.ok)
         return replyTrouble(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
       const key = idempotencyKey(arrival, "put");
@@ -224,7 +232,7 @@
       });
     }
     function patch(arrival: Arrival): void {
-      const expected = expectedMark(arrival);
+      const expected = expectedVersion(arrival);
       if (!expected.ok)
         return replyTrouble(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
       if (typeof arrival.body !== "object" || arrival.body === null || Array.isArray(arrival.body))
@@ -256,7 +264,7 @@
         wanted: false,
       });
     }
-    async function measured(arrival: Arrival): Promise<void> {
+    async function sendMetrics(arrival: Arrival): Promise<void> {
       const { place, configuration: mark, head, view } = self.#core.status(monotonic());
       reply(
         arrival.reply,
@@ -272,41 +280,44 @@
         }),
       );
     }
-    function explained(arrival: Arrival, told: Explained): void {
-      if (told.kind === "REFUSED")
-        replyTrouble(arrival.reply, 422, { trouble: "refused", reason: told.reason });
-      else reply(arrival.reply, 200, told.value);
+    function sendExplanation(arrival: Arrival, explanation: Explained): void {
+      if (explanation.kind === "REFUSED")
+        replyTrouble(arrival.reply, 422, { trouble: "refused", reason: explanation.reason });
+      else reply(arrival.reply, 200, explanation.value);
     }
-    /** Answers at once where no majority is reached: what is known here may be old. */
-    function isAway(arrival: Arrival): boolean {
+    // Rejects a request without quorum contact, since the state of this machine may be out of date.
+    function isRejectedWithoutQuorum(arrival: Arrival): boolean {
       if (self.#core.inContact(monotonic())) return false;
-      operatorReplies.tell(arrival.reply, { kind: "not-run", reason: noQuorum });
+      operatorReplies.sendOutcome(arrival.reply, { kind: "not-run", reason: noQuorum });
       return true;
     }
     function explain(arrival: Arrival): void {
-      if (isAway(arrival)) return;
+      if (isRejectedWithoutQuorum(arrival)) return;
       const { way, model, adapter, labels = "" } = arrival.query;
-      const own: Record<string, string> = {};
+      const lotLabels: Record<string, string> = {};
       for (const text of labels.split(",")) {
         const cut = text.indexOf("=");
-        if (cut > 0) own[text.slice(0, cut)] = text.slice(cut + 1);
+        if (cut > 0) lotLabels[text.slice(0, cut)] = text.slice(cut + 1);
         else if (text !== "")
           return replyTrouble(arrival.reply, 422, {
             trouble: "refused",
             reason: `labels: ${text} must be key=value`,
           });
       }
-      explained(arrival, self.#core.explain({ way, model, adapter, labels: own }, monotonic()));
+      sendExplanation(
+        arrival,
+        self.#core.explain({ way, model, adapter, labels: lotLabels }, monotonic()),
+      );
     }
     function preview(arrival: Arrival): void {
-      if (isAway(arrival)) return;
-      explained(arrival, self.#core.preview(arrival.body, monotonic()));
+      if (isRejectedWithoutQuorum(arrival)) return;
+      sendExplanation(arrival, self.#core.preview(arrival.body, monotonic()));
     }
     return {
       name: "control",
       events: {
         "operator.status": status,
-        "operator.metrics": measured,
+        "operator.metrics": sendMetrics,
         "operator.explain": explain,
         "operator.preview": preview,
         "operator.configuration.get": get,
@@ -319,19 +330,21 @@
   }
 
   #inquire(arrival: Arrival, command: ControlCommand): void {
-    function told(outcome: ControlOutcome): void {
-      operatorReplies.tell(arrival.reply, outcome);
+    function complete(outcome: ControlOutcome): void {
+      operatorReplies.sendOutcome(arrival.reply, outcome);
     }
-    this.#enter(command, told);
+    this.#submit(command, complete);
   }
 
-  #enter(command: ControlCommand, told: (outcome: ControlOutcome) => void): void {
+  /** Runs a command at the head of the control chain. */
+  #submit(command: ControlCommand, complete: (outcome: ControlOutcome) => void): void {
     this.#ticketNumber += 1;
     const ticket = `http/${this.#ticketNumber}`;
-    this.#waiting.set(ticket, told);
+    this.#pendingCommands.set(ticket, complete);
     this.#perform(this.#core.inquire(ticket, command, monotonic()));
   }
 
+  /** Performs the outputs of the core. */
   #perform(outputs: readonly ControlOutput[]): void {
     const self = this;
     for (const output of outputs) {
@@ -356,9 +369,9 @@
           break;
         }
         case "result": {
-          const waiting = this.#waiting.get(output.ticket);
-          this.#waiting.delete(output.ticket);
-          if (waiting !== undefined) waiting(output.result);
+          const complete = this.#pendingCommands.get(output.ticket);
+          this.#pendingCommands.delete(output.ticket);
+          if (complete !== undefined) complete(output.result);
           break;
         }
         case "note":
@@ -370,8 +383,8 @@
   }
 }
 
-/** If-Match carries the mark that a change builds on. */
-function expectedMark(arrival: Arrival): Outcome<number | undefined> {
+/** The configuration version that a change is based on, from the If-Match header. */
+function expectedVersion(arrival: Arrival): Outcome<number | undefined> {
   const text = arrival.headers["if-match"];
   if (text === undefined) return outcome.good(undefined);
   const mark = Number(text.replaceAll('"', ""));
@@ -380,18 +393,18 @@
     : outcome.bad("If-Match must hold a mark, a whole number");
 }
 
-/** Characters of an Idempotency-Key header, at most. */
-const keyMost = 200;
+/** Maximum length of an Idempotency-Key header, in characters. */
+const maxIdempotencyKeyLength = 200;
 
 /**
- * The key by which a change that is sent again is known, where the caller gives one. It counts together with what is asked
- * for, so the same key on another change is another order.
+ * The key that identifies a retried change, if the caller gives one. It is hashed together with the request, so the same key on
+ * another change identifies another order.
  */
 function idempotencyKey(arrival: Arrival, kind: "put" | "patch"): Outcome<string | undefined> {
   const key = arrival.headers["idempotency-key"];
   if (key === undefined) return outcome.good(undefined);
-  if (typeof key !== "string" || key === "" || key.length > keyMost)
-    return outcome.bad(`Idempotency-Key must have 1 to ${keyMost} characters`);
+  if (typeof key !== "string" || key === "" || key.length > maxIdempotencyKeyLength)
+    return outcome.bad(`Idempotency-Key must have 1 to ${maxIdempotencyKeyLength} characters`);
   const request = JSON.stringify([key, kind, arrival.headers["if-match"] ?? null, arrival.body]);
   return outcome.good(createHash("sha256").update(request).digest("base64url"));
 }
--- a/packages/control/src/tenants-record.ts
+++ b/packages/control/src/tenants-record.ts
@@ -1,41 +1,44 @@
+/**
+ * Storage of tenants. They are divided over records of their own, and a record is written only if it has changed: a site has
+ * thousands of tenants, and each change of a passage, or of one credential, would otherwise send all of them to each node again.
+ * One log entry writes the record of the configuration and those of its tenants, and the feed applies all changes of a message
+ * at once, so no reader sees one without the other (docs/design.md §13.10).
+ */
 import type { Ledger } from "@chutewick/parts";
 import { configuration, type Configuration, type MarkedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 
-/**
- * Tenants stand in records of their own, each of which is written only where it changed: a site names thousands of tenants, and
- * each change of a passage, or of one credential, would send them all to each node again. One entry writes the configuration's
- * record and theirs, and the feed applies all changes of a message at once, so nobody sees one without the other
- * (docs/design.md §13.10).
- */
 type Tenants = NonNullable<Configuration["tenants"]>;
 
-/** Whatever keeps control records: a ledger, the feed, or one that follows it. */
-interface Records {
+/** A source of control records: a ledger, the feed, or a follower of the feed. */
+interface RecordReader {
   read<Value>(key: string): Value | undefined;
 }
 
-/** Records over which tenants are divided; on disk, so it stays. The first one is there even where it is empty. */
+/**
+ * The number of records over which tenants are divided. It is part of the format on disk, so it must not change. The first record
+ * exists even if it is empty.
+ */
 const TENANT_RECORDS = 64;
 
-/** Configurations joined with their tenants, by the configuration's own record, which each change writes anew. */
-const joinedOf = new WeakMap<MarkedConfiguration, MarkedConfiguration>();
+/** Cache of configurations with their tenants, by the record of the configuration, which each change replaces. */
+const joinedCache = new WeakMap<MarkedConfiguration, MarkedConfiguration>();
 
-/** The configuration in force, with its tenants; the same object as long as nothing changes. */
-export function configurationIn(records: Records): MarkedConfiguration {
-  const held = configuration.read(records.read<MarkedConfiguration>(keys.configuration));
-  if (records.read<Tenants>(keyOf(0)) === undefined) return held;
-  const known = joinedOf.get(held);
+/** The configuration in force, with its tenants. Returns the same object until something changes. */
+export function configurationIn(records: RecordReader): MarkedConfiguration {
+  const stored = configuration.read(records.read<MarkedConfiguration>(keys.configuration));
+  if (records.read<Tenants>(keyOf(0)) === undefined) return stored;
+  const known = joinedCache.get(stored);
   if (known !== undefined) return known;
   const tenants: Tenants = {};
   for (let number = 0; number < TENANT_RECORDS; number += 1)
     Object.assign(tenants, records.read<Tenants>(keyOf(number)));
-  const joined = { ...held, value: { ...held.value, tenants } };
-  joinedOf.set(held, joined);
+  const joined = { ...stored, value: { ...stored.value, tenants } };
+  joinedCache.set(stored, joined);
   return joined;
 }
 
-/** Writes a configuration, and those of its tenants that are others than those in force. */
+/** Writes a configuration, and those records of tenants that differ from the ones in force. */
 export function putConfiguration(
   ledger: Ledger,
   { value: { tenants, ...value }, ...marked }: MarkedConfiguration,
@@ -45,7 +48,7 @@
   for (let number = 0; number < TENANT_RECORDS; number += 1) {
     const key = keyOf(number);
     const wanted = divided.get(number);
-    /** As text, so that a record read from a disk is the same as one that was just written. */
+    // Compared as text, so that a record read from disk equals one that was just written.
     if (JSON.stringify(wanted) === JSON.stringify(ledger.read<Tenants>(key))) continue;
     if (wanted === undefined) ledger.remove(key);
     else ledger.put(key, wanted);
@@ -56,21 +59,21 @@
   return `${keys.tenants}${number}`;
 }
 
-/** Tenants by the number of their record; records without any are left out, but for the first. */
+/** Tenants by the number of their record. Only the first record is present without tenants. */
 function divide(tenants: Tenants | undefined): ReadonlyMap<number, Tenants> {
   const divided = new Map<number, Tenants>();
   if (tenants === undefined) return divided;
   divided.set(0, {});
   for (const [name, tenant] of Object.entries(tenants)) {
     const number = recordOf(name);
-    const held = divided.get(number) ?? {};
-    held[name] = tenant;
-    divided.set(number, held);
+    const record = divided.get(number) ?? {};
+    record[name] = tenant;
+    divided.set(number, record);
   }
   return divided;
 }
 
-/** FNV-1a of the name: the same in each release. */
+/** The number of the record that holds a tenant, by the FNV-1a hash of its name. It must be the same in each release. */
 function recordOf(name: string): number {
   let hash = 0x811c9dc5;
   for (let index = 0; index < name.length; index += 1)
--- a/packages/control/src/usage/control-usage.ts
+++ b/packages/control/src/usage/control-usage.ts
@@ -1,4 +1,4 @@
-/** Usage and agreed time at a control machine (docs/design.md §14.1, §14.2). */
+/** Usage counts and the agreed clock on a control machine (docs/design.md §14.1, §14.2). */
 import { AgreedTime, lateness, type Member } from "@chutewick/parts";
 import type {
   ControlOutput,
@@ -8,27 +8,28 @@
 } from "../control-messages.js";
 import { UsageLedger } from "./usage-ledger.js";
 
-/** Takes what access nodes and peers tell of usage and of their clocks, and answers them. */
+/** Processes the reports of access nodes and peers on usage and on their clocks, and acknowledges them. */
 export class ControlUsage {
   readonly time = new AgreedTime();
   readonly ledger: UsageLedger;
   readonly #self: Member;
-  /** Of this process. */
-  readonly #life: string;
-  /** Life of each peer by its address. */
-  readonly #peerLives = new Map<string, string>();
-  /** ms. The wall clock of this machine at a monotonic moment. */
+  /** Identifies this run of the process. */
+  readonly #incarnation: string;
+  /** The last known incarnation of each peer, by address. */
+  readonly #peerIncarnations = new Map<string, string>();
+  /** The last reading of the wall clock of this machine, in ms. */
   #wall = 0;
+  /** The monotonic time in ms of that reading. */
   #wallReadAt = 0;
 
-  /** The length of windows in ms; undefined where no usage is reported. */
-  constructor(self: Member, life: string, window: number | undefined) {
+  /** @param window length of the windows in ms; undefined if no usage is reported */
+  constructor(self: Member, incarnation: string, window: number | undefined) {
     this.#self = self;
-    this.#life = life;
+    this.#incarnation = incarnation;
     this.ledger = new UsageLedger(this.time, window);
   }
 
-  /** The wall clock of this machine, as it is told to others. */
+  /** The wall-clock time of this machine, as sent to other machines. */
   wallAt(now: number): number {
     return Math.round(this.#wall + now - this.#wallReadAt);
   }
@@ -39,28 +40,38 @@
     this.time.heard({ source: this.#self.address, wall, late: 0 }, now);
   }
 
-  /** Takes the clock of a peer. One that has just started lacks the counts of nodes that are gone: those are told to it. */
+  /**
+   * Records the clock of a peer. A peer that has just started lacks the counts of nodes that are gone, so these are sent to it.
+   */
   heardPeer(
     from: string,
     { stamp, back, wall }: RegistryMessage,
-    isOver: (life: string) => boolean,
+    isClosed: (incarnation: string) => boolean,
     now: number,
   ): ControlOutput[] {
     if (wall !== undefined)
-      this.time.heard({ source: from, wall, late: lateness(back, this.#life, now) }, now);
-    if (stamp === undefined || this.#peerLives.get(from) === stamp.life) return [];
-    this.#peerLives.set(from, stamp.life);
-    return this.ledger.told(isOver).map((message) => ({ kind: "send", to: from, message }));
+      this.time.heard({ source: from, wall, late: lateness(back, this.#incarnation, now) }, now);
+    if (stamp === undefined || this.#peerIncarnations.get(from) === stamp.life) return [];
+    this.#peerIncarnations.set(from, stamp.life);
+    return this.ledger.told(isClosed).map((message) => ({ kind: "send", to: from, message }));
   }
 
-  /** Takes counts of an access node, or of one that is gone from a peer, whose messages are numbered 0 and not acknowledged. */
+  /**
+   * Records counts of an access node. Counts of a node that is gone come from a peer; those messages have number 0 and are not
+   * acknowledged.
+   */
   take(message: UsageMessage, from: string, now: number): ControlOutput[] {
-    /** Without the time no window can be kept, and what is acknowledged is never told again. */
+    // Without the agreed time the counts cannot be stored; they must not be acknowledged, or they would never be sent again.
     if (this.ledger.windowAt(now) === undefined) return [];
     this.ledger.take(message, now);
     const { since, upTo } = message;
     if (upTo === 0) return [];
-    const taken: UsageTakenMessage = { kind: "usage-taken", life: this.#life, since, upTo };
-    return [{ kind: "send", to: from, message: taken }];
+    const acknowledgement: UsageTakenMessage = {
+      kind: "usage-taken",
+      life: this.#incarnation,
+      since,
+      upTo,
+    };
+    return [{ kind: "send", to: from, message: acknowledgement }];
   }
 }
--- a/packages/control/src/usage/usage-ledger.ts
+++ b/packages/control/src/usage/usage-ledger.ts
@@ -1,41 +1,41 @@
-/** Usage as all access nodes told it, by window and tenant; without I/O (docs/design.md §14.2). */
+/** Usage reported by all access nodes, by window and tenant, without I/O (docs/design.md §14.2). */
 import { constants, type AgreedTime } from "@chutewick/parts";
 import type { TenantCount, UsageMessage, WindowUsage } from "../control-messages.js";
 
-/** Counts of one window, by the life of the node that counted, and by tenant. */
-type LivesOfWindow = Map<string, Map<string, number>>;
+/** Counts of one window, by incarnation of the counting node and by tenant. */
+type WindowCounts = Map<string, Map<string, number>>;
 
 /**
- * What every control machine keeps in memory alike: each count of a life is the largest that it told, and the counts of all
- * lives, of nodes that are gone too, are summed.
+ * Every control machine keeps this in memory and arrives at the same counts: the count of an incarnation is the largest one that
+ * it reported, and the counts of all incarnations, including those of nodes that are gone, are summed.
  */
 export class UsageLedger {
-  readonly #windows = new Map<number, LivesOfWindow>();
+  readonly #windows = new Map<number, WindowCounts>();
   readonly #time: AgreedTime;
-  /** ms. */
-  readonly #length: number | undefined;
+  /** Length of a window in ms. */
+  readonly #windowMs: number | undefined;
   #merged = 0;
 
-  /** Keeps nothing where windows have no length. */
-  constructor(time: AgreedTime, length: number | undefined) {
+  /** @param windowMs length of a window; undefined to keep no counts */
+  constructor(time: AgreedTime, windowMs: number | undefined) {
     this.#time = time;
-    this.#length = length;
+    this.#windowMs = windowMs;
   }
 
-  /** Counts that were new here. */
+  /** The number of counts that changed the ledger. */
   get merged(): number {
     return this.#merged;
   }
 
-  /** The window in force; undefined where none is counted. */
+  /** The current window; undefined if no usage is counted or the time is unknown. */
   windowAt(now: number): number | undefined {
     const time = this.#time.at(now);
-    return this.#length === undefined || time === undefined
+    return this.#windowMs === undefined || time === undefined
       ? undefined
-      : Math.floor(time / this.#length);
+      : Math.floor(time / this.#windowMs);
   }
 
-  /** Takes counts in any order, and as often as they come. */
+  /** Merges counts. Merging is idempotent and independent of the order. */
   take({ life, windows }: UsageMessage, now: number): void {
     for (const { window, counts } of windows) {
       if (!this.#isKept(window, now)) continue;
@@ -56,21 +56,21 @@
     return sums;
   }
 
-  /** Counts of lives for which nobody may speak any more, as they were told; the newest windows first, up to a bound for each life. */
-  told(isOver: (life: string) => boolean): UsageMessage[] {
+  /** Messages with the counts of closed incarnations, the newest windows first, up to a bound for each incarnation. */
+  told(isClosed: (incarnation: string) => boolean): UsageMessage[] {
     const windowsOf = new Map<string, WindowUsage[]>();
     const newestFirst = [...this.#windows].sort(([left], [right]) => right - left);
-    for (const [window, lives] of newestFirst)
-      for (const [life, tenants] of lives) {
-        if (!isOver(life)) continue;
-        const windows = windowsOf.get(life) ?? [];
-        windowsOf.set(life, windows);
+    for (const [window, incarnations] of newestFirst)
+      for (const [incarnation, tenants] of incarnations) {
+        if (!isClosed(incarnation)) continue;
+        const windows = windowsOf.get(incarnation) ?? [];
+        windowsOf.set(incarnation, windows);
         windows.push({ window, counts: [...tenants] });
       }
-    return [...windowsOf].map(([life, windows]) => messageOf(life, windows));
+    return [...windowsOf].map(([incarnation, windows]) => messageOf(incarnation, windows));
   }
 
-  /** Forgets windows that ended long ago. */
+  /** Removes windows whose retention time has passed. */
   forget(now: number): void {
     for (const window of this.#windows.keys())
       if (!this.#isKept(window, now)) this.#windows.delete(window);
@@ -78,32 +78,32 @@
 
   #isKept(window: number, now: number): boolean {
     const current = this.windowAt(now);
-    if (current === undefined || this.#length === undefined) return false;
-    return Math.abs(window - current) * this.#length <= constants.usageLedgerKept;
+    if (current === undefined || this.#windowMs === undefined) return false;
+    return Math.abs(window - current) * this.#windowMs <= constants.usageLedgerKept;
   }
 
-  #tenantsOf(window: number, life: string): Map<string, number> {
-    let lives = this.#windows.get(window);
-    if (lives === undefined) {
-      lives = new Map<string, Map<string, number>>();
-      this.#windows.set(window, lives);
+  #tenantsOf(window: number, incarnation: string): Map<string, number> {
+    let incarnations = this.#windows.get(window);
+    if (incarnations === undefined) {
+      incarnations = new Map<string, Map<string, number>>();
+      this.#windows.set(window, incarnations);
     }
-    let tenants = lives.get(life);
+    let tenants = incarnations.get(incarnation);
     if (tenants === undefined) {
       tenants = new Map<string, number>();
-      lives.set(life, tenants);
+      incarnations.set(incarnation, tenants);
     }
     return tenants;
   }
 }
 
-function messageOf(life: string, windows: readonly WindowUsage[]): UsageMessage {
-  const told: WindowUsage[] = [];
+function messageOf(incarnation: string, windows: readonly WindowUsage[]): UsageMessage {
+  const included: WindowUsage[] = [];
   let left = constants.usageCountsMost;
   for (const { window, counts } of windows) {
     const fitting: readonly TenantCount[] = counts.slice(0, left);
     left -= fitting.length;
-    if (fitting.length > 0) told.push({ window, counts: fitting });
+    if (fitting.length > 0) included.push({ window, counts: fitting });
   }
-  return { kind: "usage", life, since: 0, upTo: 0, windows: told };
+  return { kind: "usage", life: incarnation, since: 0, upTo: 0, windows: included };
 }
