--- a/packages/control/src/duties/duty-service.ts
+++ b/packages/control/src/duties/duty-service.ts
@@ -67,14 +67,14 @@
   }
 
   /**
-   * Advances the clock. This machine claims nothing while `ground` is undefined, nor until nodes had time to report their usage
+   * Advances the clock. This machine claims nothing while `context` is undefined, nor until nodes had time to report their usage
    * counts to it.
    */
-  beat(now: number, ground: DutyGround | undefined): void {
-    this.#eligibleSince = ground === undefined ? undefined : (this.#eligibleSince ?? now);
-    if (ground === undefined || now - this.#eligibleSince! < constants.dutySettles) return;
-    if (ground.isConfigured) this.#usage.begin(now);
-    const { place, members, records } = ground;
+  beat(now: number, context: DutyGround | undefined): void {
+    this.#eligibleSince = context === undefined ? undefined : (this.#eligibleSince ?? now);
+    if (context === undefined || now - this.#eligibleSince! < constants.dutySettles) return;
+    if (context.isConfigured) this.#usage.begin(now);
+    const { place, members, records } = context;
     const due = this.#due(now, records);
     this.#perform(this.#performer.beat({ now, place, members, records, due }));
   }
