--- a/packages/data/src/lot-replies.ts
+++ b/packages/data/src/lot-replies.ts
@@ -1,31 +1,34 @@
-/** What callers are told of lots, by what the owner of their queue said (docs/interface.md). */
+/** HTTP replies to lot requests, built from the result that the queue owner returned (docs/interface.md). */
 import { constants, type QueueResult } from "@chutewick/parts";
 import type { AccessOutput } from "./access-output.js";
 import { errorReply, notRunReply, type ErrorBody, type ErrorReply } from "./error-reply.js";
 import type { CheckedLot } from "./lot-submission.js";
 import type { QueueOutcome } from "./queue-messages.js";
 
-/** A result of the owner by its kind. */
+/** The queue result of one kind. */
 export type QueueResultOf<Kind extends QueueResult["kind"]> = Extract<QueueResult, { kind: Kind }>;
 
-/** When a queue has room again. */
-export interface RoomExpected {
-  /** ms until then. */
+/** When a full queue is expected to have free capacity. */
+export interface ExpectedCapacity {
+  /** Time until then, in ms; undefined if it is not known. */
   readonly wait: number | undefined;
-  /** Moment (ms, wall clock) at which a season gives it; undefined where the queue's own rate does. */
+  /** Wall clock time (ms) at which a season provides the capacity; undefined if the queue's own rate provides it. */
   readonly seasonAt: number | undefined;
 }
 
 type LotState = "cancelled" | "cancelling" | "done" | "open";
 
-/** The lot was accepted. waited: ms since it was asked for. */
+/**
+ * The lot was accepted.
+ * @param elapsed time in ms since the request was sent to the owner
+ */
 export function admittedReply(
   ticket: string,
   lot: CheckedLot,
   value: QueueResultOf<"ADMITTED">,
-  waited: number,
+  elapsed: number,
 ): AccessOutput {
-  const remaining = Math.min(lot.lasts, value.remaining - waited);
+  const remaining = Math.min(lot.lasts, value.remaining - elapsed);
   const body = {
     lot: value.lot,
     items: lot.count,
@@ -35,8 +38,8 @@
   return { kind: "reply", ticket, status: 202, body };
 }
 
-/** No owner's word came: the lot may have been accepted. */
-export function unsureReply(ticket: string, lot: string): ErrorReply {
+/** The owner did not answer: the lot may have been accepted. */
+export function unknownOutcomeReply(ticket: string, lot: string): ErrorReply {
   return errorReply(ticket, 504, {
     trouble: "unknown",
     reason:
@@ -46,7 +49,7 @@
   });
 }
 
-/** The key names another lot. */
+/** The key was already used for a lot with another body. */
 export function conflictReply(ticket: string, lot: string): ErrorReply {
   return errorReply(ticket, 409, {
     trouble: "conflict",
@@ -55,12 +58,12 @@
   });
 }
 
-/** The queue has no room for so many items. */
-export function fullReply(
+/** The queue has too little free capacity for the lot's items. */
+export function queueFullReply(
   ticket: string,
   count: number,
   value: QueueResultOf<"FULL">,
-  { wait, seasonAt }: RoomExpected,
+  { wait, seasonAt }: ExpectedCapacity,
 ): ErrorReply {
   const reason =
     count > value.allowance
@@ -74,7 +77,7 @@
   });
 }
 
-/** The lot ended long ago. */
+/** The lot ended and its results are no longer retained. */
 export function goneReply(ticket: string, value: QueueResultOf<"GONE">): ErrorReply {
   const body: ErrorBody = {
     trouble: "gone",
@@ -89,12 +92,12 @@
   return errorReply(ticket, 410, body);
 }
 
-/** There surely is no such lot. */
+/** The lot is certain not to exist. */
 export function unknownLotReply(ticket: string, reason = "there is no such lot"): ErrorReply {
   return errorReply(ticket, 404, { trouble: "unknown-lot", reason });
 }
 
-/** A lot's state and the states and results of its items. */
+/** Replies with a lot's state and the states and results of its items. */
 export function lookUpReply(ticket: string, outcome: QueueOutcome): AccessOutput {
   if (outcome.kind !== "confirmed") return notRunReply(ticket, "the lot's owner cannot answer now");
   const { value } = outcome;
@@ -112,7 +115,7 @@
   return isCancelled ? "cancelling" : "open";
 }
 
-/** Whether a lot is cancelled, and how many items were stopped by it. */
+/** Replies whether a lot is cancelled and how many items that stopped. */
 export function cancelReply(ticket: string, lot: string, outcome: QueueOutcome): AccessOutput {
   if (outcome.kind === "elsewhere") return notRunReply(ticket, outcome.reason);
   if (outcome.kind === "unknown")
--- a/packages/data/src/lot-requests.ts
+++ b/packages/data/src/lot-requests.ts
@@ -1,4 +1,4 @@
-/** Lots of routes: callers hand them in, look them up and cancel them (docs/design.md §5). */
+/** Lots (batch jobs) of routes: callers submit them, look them up and cancel them (docs/design.md §5). */
 import { constants, season, type QueueCommand } from "@chutewick/parts";
 import { configuration, keys } from "@chutewick/control";
 import type { AccessCounts } from "./access-counts.js";
@@ -10,13 +10,13 @@
   admittedReply,
   cancelReply,
   conflictReply,
-  fullReply,
+  queueFullReply,
   goneReply,
   lookUpReply,
   unknownLotReply,
-  unsureReply,
+  unknownOutcomeReply,
   type QueueResultOf,
-  type RoomExpected,
+  type ExpectedCapacity,
 } from "./lot-replies.js";
 import { checkLot, type CheckedLot, type LotSubmission } from "./lot-submission.js";
 import type { Membership } from "./membership.js";
@@ -24,7 +24,7 @@
 import type { QueueOutcome } from "./queue-messages.js";
 import { findRoute } from "./routes.js";
 
-/** What lots need of their node. */
+/** Components of the access node that lot requests use. */
 export interface LotRequestsParts {
   readonly membership: Membership;
   readonly admission: Admission;
@@ -32,7 +32,7 @@
   readonly counts: AccessCounts;
 }
 
-/** A request on a lot by its name. */
+/** A request that concerns an existing lot. */
 interface LotQuery {
   readonly ticket: string;
   readonly lot: string;
@@ -40,13 +40,13 @@
   readonly replyTo: (outcome: QueueOutcome) => AccessOutput;
 }
 
-/** Requests on lots at one access node. */
+/** Serves requests for lots at one access node. */
 export class LotRequests {
   #membership: Membership;
   #admission: Admission;
   #pendingCalls: PendingCalls;
   #counts: AccessCounts;
-  /** ms of the wall clock, for what is told of seasons alone (§10.5). */
+  /** Wall clock time in ms; used only to tell callers when a season opens capacity. */
   #wallClock = 0;
 
   constructor({ membership, admission, pendingCalls, counts }: LotRequestsParts) {
@@ -67,51 +67,54 @@
     const lot = checkLot(submission, findRoute(value, routeName));
     if (lot.kind === "reply") return [lot];
     const onResult = (outcome: QueueOutcome, later: number, askedAt: number): AccessOutput[] => [
-      this.#handInReply(ticket, lot, outcome, later - askedAt),
+      this.#submissionReply(ticket, lot, outcome, later - askedAt),
     ];
     const { queue, command } = lot;
     const call = { queue, command, patience: constants.ownerPatience, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
-  #handInReply(
+  #submissionReply(
     ticket: string,
     lot: CheckedLot,
     outcome: QueueOutcome,
-    waited: number,
+    elapsed: number,
   ): AccessOutput {
-    if (outcome.kind === "unknown") return unsureReply(ticket, lot.lot);
+    if (outcome.kind === "unknown") return unknownOutcomeReply(ticket, lot.lot);
     if (outcome.kind === "elsewhere") return this.#notRun(ticket, outcome.reason);
     const { value } = outcome;
     switch (value.kind) {
       case "ADMITTED":
-        return admittedReply(ticket, lot, value, waited);
+        return admittedReply(ticket, lot, value, elapsed);
       case "GONE":
         return goneReply(ticket, value);
       case "CONFLICT":
         return conflictReply(ticket, value.lot);
       case "FULL":
-        return fullReply(ticket, lot.count, value, this.#roomExpected(lot, value));
+        return queueFullReply(ticket, lot.count, value, this.#expectedCapacity(lot, value));
       default:
         return errorReply(ticket, 500, { trouble: "internal", reason: value.kind });
     }
   }
 
-  /** The wait by the queue's own rate; where there is none, the moment at which a season gives it room, if one does. */
-  #roomExpected({ queue, count }: CheckedLot, { wait }: QueueResultOf<"FULL">): RoomExpected {
+  /** Returns the wait by the queue's own rate; without one, the time at which a season gives the queue free capacity, if any does. */
+  #expectedCapacity(
+    { queue, count }: CheckedLot,
+    { wait }: QueueResultOf<"FULL">,
+  ): ExpectedCapacity {
     if (wait !== undefined) return { wait, seasonAt: undefined };
-    const seasonAt = this.#seasonWithRoomAt(queue, count);
+    const seasonAt = this.#seasonWithCapacityAt(queue, count);
     return { wait: seasonAt === undefined ? undefined : seasonAt - this.#wallClock, seasonAt };
   }
 
-  /** When, by the calendar of seasons, a queue may first hold so many. */
-  #seasonWithRoomAt(queue: string, count: number): number | undefined {
+  /** Returns the first time at which the calendar of seasons lets a queue hold this many more items. */
+  #seasonWithCapacityAt(queue: string, count: number): number | undefined {
     const { value } = this.#membership.configuration;
-    const plan = configuration.queues(value).find((each) => each.queue === queue);
-    if (plan === undefined) return undefined;
+    const plannedQueue = configuration.queues(value).find((each) => each.queue === queue);
+    if (plannedQueue === undefined) return undefined;
     const wallClock = this.#wallClock;
     const seasons = configuration.seasonsOf(value, wallClock);
-    return season.roomAt(seasons, plan.labels, plan.waiting, wallClock, count);
+    return season.roomAt(seasons, plannedQueue.labels, plannedQueue.waiting, wallClock, count);
   }
 
   lookUp(ticket: string, lot: string, now: number): AccessOutput[] {
@@ -136,7 +139,7 @@
     return this.#membership.follower.read(keys.queue + queue) !== undefined;
   }
 
-  /** Only a node that surely has the newest configuration may say that there is no such queue. */
+  /** Only a node that is certain to have the newest configuration may answer that a queue does not exist. */
   #noSuchQueue(ticket: string, now: number): AccessOutput {
     return this.#membership.holds(now)
       ? unknownLotReply(ticket)
--- a/packages/data/src/lot-search.ts
+++ b/packages/data/src/lot-search.ts
@@ -1,4 +1,4 @@
-/** Finds the queue of a passage's lot, as no queue stands in the lot's name (docs/design.md §13.7). */
+/** Finds the queue that holds a lot of a passage, since the lot's name does not contain the queue (docs/design.md §13.7). */
 import { constants, type ChainView, type QueueCommand, type QueueResult } from "@chutewick/parts";
 import { configuration, keys } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
@@ -7,33 +7,33 @@
 import type { PendingCalls } from "./pending-calls.js";
 import type { QueueOutcome } from "./queue-messages.js";
 
-/** What is asked of the owner of a lot, wherever it is. */
-export interface LotQuestion {
+/** A command for the owner of a lot whose queue may not be known yet. */
+export interface LotLookup {
   readonly ticket: string;
   readonly lot: string;
   readonly command: QueueCommand;
-  /** ms that the owner may keep the result back. */
+  /** How long the owner may hold the result back (long polling), in ms. */
   readonly hold: number;
-  /** What follows from an owner's word; undefined where that owner does not have the lot. */
+  /** Turns the result of an owner into outputs; undefined if that owner does not have the lot. */
   readonly onFound: (value: QueueResult, now: number) => AccessOutput[] | undefined;
 }
 
-/** What became of a question that several owners were asked. */
-interface Search {
-  readonly question: LotQuestion;
-  /** Owners that have not answered. */
+/** Progress of a lookup that was sent to one or more queue owners. */
+interface LookupProgress {
+  readonly lookup: LotLookup;
+  /** Number of owners that have not answered. */
   open: number;
-  /** Whether this node knew of all queues all the while, and every owner answered. */
-  isSure: boolean;
-  isOver: boolean;
+  /** Whether this node knew all queues throughout the lookup and every owner so far has answered. */
+  isConclusive: boolean;
+  isFinished: boolean;
 }
 
-/** Asks owners for lots, and remembers where lots were seen. */
+/** Queries queue owners for lots and caches the queue in which each lot was found. */
 export class LotSearch {
   #membership: Membership;
   #pendingCalls: PendingCalls;
-  /** In which queue a lot was seen, the one seen last at the end. */
-  #seenIn = new Map<string, string>();
+  /** Queue of each known lot, least recently found first. */
+  #queueByLot = new Map<string, string>();
 
   constructor(membership: Membership, pendingCalls: PendingCalls) {
     this.#membership = membership;
@@ -41,33 +41,33 @@
   }
 
   remember(lot: string, queue: string): void {
-    this.#seenIn.delete(lot);
-    this.#seenIn.set(lot, queue);
-    if (this.#seenIn.size <= constants.lotsRemembered) return;
-    for (const oldest of this.#seenIn.keys()) {
-      this.#seenIn.delete(oldest);
+    this.#queueByLot.delete(lot);
+    this.#queueByLot.set(lot, queue);
+    if (this.#queueByLot.size <= constants.lotsRemembered) return;
+    for (const oldest of this.#queueByLot.keys()) {
+      this.#queueByLot.delete(oldest);
       break;
     }
   }
 
-  /** Asks where the lot was seen, or the owners of all queues of its kind, which are few. */
-  ask(question: LotQuestion, now: number): AccessOutput[] {
-    const queues = this.#queuesOf(question.lot);
-    const search: Search = {
-      question,
+  /** Queries the cached queue of the lot, or else the owners of all pool queues, which are few. */
+  run(lookup: LotLookup, now: number): AccessOutput[] {
+    const queues = this.#queuesOf(lookup.lot);
+    const progress: LookupProgress = {
+      lookup,
       open: queues.length,
-      isSure: this.#membership.holds(now),
-      isOver: false,
+      isConclusive: this.#membership.holds(now),
+      isFinished: false,
     };
-    if (queues.length === 0) return close(search);
+    if (queues.length === 0) return finishNotFound(progress);
     const outputs: AccessOutput[] = [];
-    for (const queue of queues) outputs.push(...this.#askOwner(queue, search, now));
+    for (const queue of queues) outputs.push(...this.#queryOwner(queue, progress, now));
     return outputs;
   }
 
   #queuesOf(lot: string): string[] {
-    const seen = this.#seenIn.get(lot);
-    if (seen !== undefined) return [seen];
+    const cached = this.#queueByLot.get(lot);
+    if (cached !== undefined) return [cached];
     const queues: string[] = [];
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
@@ -76,43 +76,50 @@
     return queues;
   }
 
-  #askOwner(queue: string, search: Search, now: number): AccessOutput[] {
-    const { command, hold } = search.question;
+  #queryOwner(queue: string, progress: LookupProgress, now: number): AccessOutput[] {
+    const { command, hold } = progress.lookup;
     const patience = constants.readPatience + hold;
     const onResult = (outcome: QueueOutcome, later: number): AccessOutput[] =>
-      this.#answered(queue, search, outcome, later);
+      this.#handleAnswer(queue, progress, outcome, later);
     return this.#pendingCalls.ask({ queue, command, patience, hold, onResult }, now);
   }
 
-  #answered(queue: string, search: Search, outcome: QueueOutcome, now: number): AccessOutput[] {
-    search.open -= 1;
-    if (search.isOver) return [];
-    const { lot, onFound } = search.question;
+  #handleAnswer(
+    queue: string,
+    progress: LookupProgress,
+    outcome: QueueOutcome,
+    now: number,
+  ): AccessOutput[] {
+    progress.open -= 1;
+    if (progress.isFinished) return [];
+    const { lot, onFound } = progress.lookup;
     const found = outcome.kind === "confirmed" ? onFound(outcome.value, now) : undefined;
     if (found !== undefined) {
-      search.isOver = true;
+      progress.isFinished = true;
       this.remember(lot, queue);
       return found;
     }
-    if (outcome.kind !== "confirmed") search.isSure = false;
-    /** That it stood nowhere counts only where this node knew of all queues all the while. */
-    if (!this.#membership.holds(now)) search.isSure = false;
-    return search.open === 0 ? close(search) : [];
+    if (outcome.kind !== "confirmed") progress.isConclusive = false;
+    // "Not found" is conclusive only if this node knew all queues throughout the lookup.
+    if (!this.#membership.holds(now)) progress.isConclusive = false;
+    return progress.open === 0 ? finishNotFound(progress) : [];
   }
 }
 
-/** No owner has the lot. */
-function close(search: Search): AccessOutput[] {
-  search.isOver = true;
+/** Ends a lookup for which no owner returned the lot. */
+function finishNotFound(progress: LookupProgress): AccessOutput[] {
+  progress.isFinished = true;
   return [
-    lotTold(
-      search.question.ticket,
-      search.isSure ? { kind: "missing" } : { kind: "later", retryAfter: constants.retryAfter },
+    lotReply(
+      progress.lookup.ticket,
+      progress.isConclusive
+        ? { kind: "missing" }
+        : { kind: "later", retryAfter: constants.retryAfter },
     ),
   ];
 }
 
-/** Tells a caller what became of its request on a lot. */
-export function lotTold(ticket: string, told: LotTold): AccessOutput {
-  return { kind: "lot-told", ticket, told };
+/** Builds the reply to a caller of a lot operation. */
+export function lotReply(ticket: string, reply: LotTold): AccessOutput {
+  return { kind: "lot-told", ticket, told: reply };
 }
--- a/packages/data/src/lot-submission.ts
+++ b/packages/data/src/lot-submission.ts
@@ -1,4 +1,4 @@
-/** Checks a lot that was handed in on a route, and words the command that admits it (docs/design.md §5.1). */
+/** Validates a lot submitted on a route and builds the command that admits it to its queue (docs/design.md §5.1). */
 import { createHash } from "node:crypto";
 import { constants, type QueueCommand } from "@chutewick/parts";
 import { configuration, type Way } from "@chutewick/control";
@@ -6,26 +6,26 @@
 import { lotName } from "./lot-names.js";
 import { unknownRoute } from "./routes.js";
 
-const KEY_CHARACTERS_MOST = 200;
+const MAX_KEY_CHARACTERS = 200;
 
-/** A lot as it was handed in, not checked yet. */
+/** A lot as submitted by a caller, not validated yet. */
 export interface LotSubmission {
   readonly ticket: string;
   readonly routeName: string;
-  /** The caller's own name for it: the same key is the same lot. */
+  /** Idempotency key chosen by the caller: the same key denotes the same lot. */
   readonly key: unknown;
   readonly items: unknown;
   readonly labels: unknown;
 }
 
-/** A lot that may be sent to the owner of its queue. */
+/** A validated lot with the command for the owner of its queue. */
 export interface CheckedLot {
   readonly kind: "checked";
   readonly queue: string;
   readonly lot: string;
   /** Number of its items. */
   readonly count: number;
-  /** ms that it may take. */
+  /** Deadline of the lot, in ms after it is admitted. */
   readonly lasts: number;
   readonly command: QueueCommand;
 }
@@ -37,7 +37,7 @@
   readonly labels: Readonly<Record<string, string>>;
 }
 
-/** The lot with its queue, or the error that the caller is told. */
+/** Returns the validated lot with its queue, or the error reply to the caller. */
 export function checkLot(
   submission: LotSubmission,
   route: Way | undefined,
@@ -50,14 +50,14 @@
       reason: `${routeName} does not take lots`,
     });
   const content = checkContent(submission);
-  return content.kind === "reply" ? content : lotOf(content, routeName, route);
+  return content.kind === "reply" ? content : toCheckedLot(content, routeName, route);
 }
 
 function checkContent({ ticket, key, items, labels }: LotSubmission): LotContent | ErrorReply {
-  if (typeof key !== "string" || key.length === 0 || key.length > KEY_CHARACTERS_MOST)
-    return badBody(ticket, "key: must be a text of 1 to 200 characters of the caller's own");
+  if (typeof key !== "string" || key.length === 0 || key.length > MAX_KEY_CHARACTERS)
+    return badBodyReply(ticket, "key: must be a text of 1 to 200 characters of the caller's own");
   if (!Array.isArray(items) || items.length === 0)
-    return badBody(ticket, "items: must be a list with at least one prompt");
+    return badBodyReply(ticket, "items: must be a list with at least one prompt");
   if (items.length > constants.lotItemsMost)
     return errorReply(ticket, 413, {
       trouble: "lot-too-large",
@@ -65,14 +65,18 @@
     });
   const checkedLabels = configuration.labelsOf(labels ?? {});
   if (checkedLabels === undefined)
-    return badBody(
+    return badBodyReply(
       ticket,
       'labels: must be an object of label names and values, such as {"shift": "night"}, 20 at most',
     );
   return { kind: "content", key, items, labels: checkedLabels };
 }
 
-function lotOf({ key, items, labels }: LotContent, routeName: string, route: Way): CheckedLot {
+function toCheckedLot(
+  { key, items, labels }: LotContent,
+  routeName: string,
+  route: Way,
+): CheckedLot {
   const queue = configuration.queueOf(route.model!, route.adapter);
   const lot = lotName(queue, routeName, key);
   const lasts =
@@ -90,12 +94,12 @@
   return { kind: "checked", queue, lot, count: items.length, lasts, command };
 }
 
-/** By it the owner tells whether a key is used again with another body. */
+/** Digest by which the owner detects that a key is reused with another body. */
 function digestOf(items: readonly unknown[], labels: Readonly<Record<string, string>>): string {
   const content = Object.keys(labels).length === 0 ? items : [labels, items];
   return createHash("sha256").update(JSON.stringify(content)).digest("base64url");
 }
 
-function badBody(ticket: string, reason: string): ErrorReply {
+function badBodyReply(ticket: string, reason: string): ErrorReply {
   return errorReply(ticket, 400, { trouble: "bad-body", reason });
 }
--- a/packages/data/src/pass-lots.ts
+++ b/packages/data/src/pass-lots.ts
@@ -1,11 +1,11 @@
-/** Lots of passages at an access node, without I/O (docs/design.md §13.7). */
+/** Lots (batch jobs) of passages at an access node, without I/O (docs/design.md §13.7). */
 import { constants, type QueueCommand, type QueueResult, type Tenancy } from "@chutewick/parts";
 import { configuration } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
 import { NO_NEW_WORK } from "./admission.js";
 import type { Choice } from "./choice.js";
 import type { PassEvent } from "./dialect.js";
-import { LotSearch, lotTold, type LotQuestion } from "./lot-search.js";
+import { LotSearch, lotReply, type LotLookup } from "./lot-search.js";
 import type { Membership } from "./membership.js";
 import type { LotCall, LotHandedIn, LotReading, LotTold } from "./pass.js";
 import type { Found } from "./passage-index.js";
@@ -14,15 +14,15 @@
 import type { QueueOutcome } from "./queue-messages.js";
 import type { RelayCore } from "./relay-core.js";
 
-/** Hands lots in, reads their results and ends them; `dispatcher` runs their items. */
+/** Submits lots, reads their results and ends them; `dispatcher` runs their items. */
 export class PassLots {
   readonly dispatcher: PassDraw;
   #membership: Membership;
   #pendingCalls: PendingCalls;
   #relay: RelayCore;
   #search: LotSearch;
-  #isLeaving = false;
-  #isRefusing = false;
+  #isStopping = false;
+  #isRejectingCalls = false;
 
   constructor(
     membership: Membership,
@@ -37,26 +37,26 @@
     this.dispatcher = new PassDraw(membership, choice, pendingCalls);
   }
 
-  handIn(ticket: string, handedIn: LotHandedIn, now: number): AccessOutput[] {
-    if (this.#isLeaving || !this.#membership.holds(now))
-      return [lotTold(ticket, refusedForNow(NO_NEW_WORK))];
-    const found = this.#relay.passages.find(handedIn.host, handedIn.path);
+  handIn(ticket: string, submission: LotHandedIn, now: number): AccessOutput[] {
+    if (this.#isStopping || !this.#membership.holds(now))
+      return [lotReply(ticket, refusedTemporarily(NO_NEW_WORK))];
+    const found = this.#relay.passages.find(submission.host, submission.path);
     if (found === undefined || found.passage.kind !== "lot")
-      return [lotTold(ticket, { kind: "missing" })];
+      return [lotReply(ticket, { kind: "missing" })];
     const { passage } = found;
-    const identity = this.#relay.tenants.identify(passage, handedIn.credential);
-    if (identity === undefined) return [lotTold(ticket, { kind: "unauthorized" })];
+    const identity = this.#relay.tenants.identify(passage, submission.credential);
+    if (identity === undefined) return [lotReply(ticket, { kind: "unauthorized" })];
     const queue = configuration.queueFor(
       this.#membership.configuration.value,
       passage,
-      handedIn.entries[0]?.model,
+      submission.entries[0]?.model,
     );
     const onResult = (outcome: QueueOutcome): AccessOutput[] => {
-      const isTaken = outcome.kind === "confirmed" && outcome.value.kind === "HANDED";
-      if (isTaken) this.#search.remember(handedIn.lot, queue);
-      return [lotTold(ticket, handInTold(outcome))];
+      const isAccepted = outcome.kind === "confirmed" && outcome.value.kind === "HANDED";
+      if (isAccepted) this.#search.remember(submission.lot, queue);
+      return [lotReply(ticket, submissionReply(outcome))];
     };
-    const command = handInCommand(found, handedIn, identity.tenancy?.tenant);
+    const command = submitCommand(found, submission, identity.tenancy?.tenant);
     const patience = constants.handInPatience;
     return this.#pendingCalls.ask({ queue, command, patience, onResult }, now);
   }
@@ -66,43 +66,45 @@
       if (value.kind !== "RESULTS") return undefined;
       const { total, results } = value;
       const next = from + results.length;
-      return [lotTold(ticket, { kind: "results", total, results, next })];
+      return [lotReply(ticket, { kind: "results", total, results, next })];
     };
     const commandFor = (reader: LotReader): QueueCommand => ({ kind: "results", from, ...reader });
-    return this.#ask({ ticket, call, commandFor, hold, onFound }, now);
+    return this.#query({ ticket, call, commandFor, hold, onFound }, now);
   }
 
   item(ticket: string, call: LotCall, item: string, now: number): AccessOutput[] {
     const onFound = (value: QueueResult): AccessOutput[] | undefined =>
-      value.kind === "BODY" ? [lotTold(ticket, { kind: "body", bytes: value.body })] : undefined;
+      value.kind === "BODY" ? [lotReply(ticket, { kind: "body", bytes: value.body })] : undefined;
     const commandFor = (reader: LotReader): QueueCommand => ({
       kind: "read-item",
       item,
       ...reader,
     });
-    return this.#ask({ ticket, call, commandFor, hold: 0, onFound }, now);
+    return this.#query({ ticket, call, commandFor, hold: 0, onFound }, now);
   }
 
   end(ticket: string, call: LotCall, now: number): AccessOutput[] {
     const onFound = (value: QueueResult, later: number): AccessOutput[] | undefined =>
       value.kind === "ENDED"
-        ? [lotTold(ticket, { kind: "ended" }), ...this.dispatcher.ended(call.lot, later)]
+        ? [lotReply(ticket, { kind: "ended" }), ...this.dispatcher.ended(call.lot, later)]
         : undefined;
     const commandFor = (reader: LotReader): QueueCommand => ({ kind: "end", ...reader });
-    return this.#ask({ ticket, call, commandFor, hold: 0, onFound }, now);
+    return this.#query({ ticket, call, commandFor, hold: 0, onFound }, now);
   }
 
-  /** A credential is needed as with requests; which lots it opens is said by their owner. */
-  #ask({ ticket, call, commandFor, hold, onFound }: CallOnLot, now: number): AccessOutput[] {
-    if (this.#isRefusing) return [lotTold(ticket, LATER)];
+  /** Requires a credential as live requests do; the owner of a lot decides which credentials may access it. */
+  #query({ ticket, call, commandFor, hold, onFound }: LotOperation, now: number): AccessOutput[] {
+    if (this.#isRejectingCalls) return [lotReply(ticket, RETRY_LATER)];
     const { lot, host, credential } = call;
     const { passages, tenants } = this.#relay;
     const identity = tenants.identifyReader(passages.hasKeylessLots(host), credential);
     if (identity === undefined)
-      return [lotTold(ticket, this.#membership.holds(now) ? { kind: "unauthorized" } : LATER)];
+      return [
+        lotReply(ticket, this.#membership.holds(now) ? { kind: "unauthorized" } : RETRY_LATER),
+      ];
     const { tenancy } = identity;
     const command = commandFor({ lot, ...(tenancy === undefined ? {} : { reader: tenancy }) });
-    return this.#search.ask({ ticket, lot, command, hold, onFound }, now);
+    return this.#search.run({ ticket, lot, command, hold, onFound }, now);
   }
 
   has(attempt: number): boolean {
@@ -117,7 +119,7 @@
     return this.dispatcher.goEvent(attempt, event, now);
   }
 
-  /** An owner says that a lot is ended. */
+  /** Handles the notice of a queue owner that a lot has ended. */
   dropped(lot: string, now: number): AccessOutput[] {
     return this.dispatcher.ended(lot, now);
   }
@@ -126,34 +128,34 @@
     return this.dispatcher.beat(now);
   }
 
-  /** A planned stop: no new work; what is under way goes on. */
+  /** Starts a planned stop: no new work is accepted, work in progress continues. */
   leave(): void {
-    this.#isLeaving = true;
+    this.#isStopping = true;
     this.dispatcher.leave();
   }
 
-  /** Later in a planned stop: reads and ends are sent elsewhere too. */
+  /** Second phase of a planned stop: reads and ends are rejected too, so that callers use another node. */
   refuseNew(): void {
-    this.#isRefusing = true;
+    this.#isRejectingCalls = true;
   }
 }
 
-/** A lot that is asked for, and by whom. */
+/** A lot and the tenancy on whose behalf it is accessed. */
 interface LotReader {
   readonly lot: string;
   readonly reader?: Tenancy;
 }
 
-/** A call on a lot, and what is asked of the lot's owner for it. */
-interface CallOnLot extends Pick<LotQuestion, "ticket" | "hold" | "onFound"> {
+/** A caller's operation on a lot, with the command for the lot's owner. */
+interface LotOperation extends Pick<LotLookup, "ticket" | "hold" | "onFound"> {
   readonly call: LotCall;
   readonly commandFor: (reader: LotReader) => QueueCommand;
 }
 
-/** Another node can say it at once. */
-const LATER: LotTold = { kind: "later", retryAfter: constants.retryAfter };
+/** This node cannot answer now; another node may be able to at once. */
+const RETRY_LATER: LotTold = { kind: "later", retryAfter: constants.retryAfter };
 
-function handInCommand(
+function submitCommand(
   { name, passage }: Found,
   { lot, host, entries }: LotHandedIn,
   tenant: string | undefined,
@@ -171,9 +173,9 @@
   };
 }
 
-/** What a caller is told by what the owner said of a lot that was handed in. */
-function handInTold(outcome: QueueOutcome): LotTold {
-  if (outcome.kind === "elsewhere") return refusedForNow(outcome.reason);
+/** Translates the queue owner's result for a submitted lot into the reply to the caller. */
+function submissionReply(outcome: QueueOutcome): LotTold {
+  if (outcome.kind === "elsewhere") return refusedTemporarily(outcome.reason);
   if (outcome.kind === "unknown") return { kind: "later", retryAfter: constants.retryAfter };
   const { value } = outcome;
   if (value.kind === "HANDED") return { kind: "taken" };
@@ -188,7 +190,7 @@
   };
 }
 
-/** Nobody can take the lot now; that says nothing of its size. */
-function refusedForNow(reason: string): LotTold {
+/** The lot cannot be accepted now, for a reason other than its size. */
+function refusedTemporarily(reason: string): LotTold {
   return { kind: "refused", room: false, retryAfter: constants.retryAfter, reason };
 }
--- a/packages/data/src/prompt-dispatcher.ts
+++ b/packages/data/src/prompt-dispatcher.ts
@@ -1,4 +1,7 @@
-/** Draws prompts of lots from queues, runs them on runners, and tells the owners how they ended (docs/design.md §5). */
+/**
+ * Dequeues the prompts of lots (batch jobs), runs them on runners, and reports their outcomes to the storage machines that
+ * own the queues (docs/design.md §5).
+ */
 import {
   constants,
   duty,
@@ -22,27 +25,27 @@
 import type { QueueOutcome } from "./queue-messages.js";
 import type { RunnerDemand, RunnerSelection } from "./runner-selection.js";
 
-/** ms after which a queue is drawn from again when no runner took a prompt. */
-const NO_RUNNER_PAUSE = constants.emptyPause * 2;
-/** ms for which the owner is told how a prompt ended. */
-const RECORD_PATIENCE = constants.ownerPatience * 3;
+/** Delay before a queue is dequeued from again when no runner accepted a prompt. */
+const NO_RUNNER_BACKOFF_MS = constants.emptyPause * 2;
+/** How long the outcome of a prompt is sent to the queue owner before giving up. */
+const RECORD_TIMEOUT_MS = constants.ownerPatience * 3;
 
-/** How this node draws from one queue. */
-interface QueueDraw {
+/** Dispatch state of one queue at this node. */
+interface QueueDispatch {
   readonly queue: string;
   readonly model: string;
   readonly adapter: string | undefined;
-  /** Moment before which the queue is not drawn from again. */
+  /** Time before which the queue is not dequeued from again. */
   resumeAt: number;
-  /** A draw is on its way. */
-  isAsking: boolean;
-  /** Prompts that run and whose end is not recorded. */
-  underWay: number;
+  /** Whether a dequeue request is in flight. */
+  isDequeuing: boolean;
+  /** Number of prompts that were dequeued and whose outcome has not been sent to the owner. */
+  inFlight: number;
 }
 
-type TakenPrompt = Extract<QueueResult, { kind: "TAKEN" }>;
+type DequeuedPrompt = Extract<QueueResult, { kind: "TAKEN" }>;
 
-/** What the dispatcher needs of its node. */
+/** Components of the access node that the dispatcher uses. */
 export interface PromptDispatcherParts {
   readonly membership: Membership;
   readonly admission: Admission;
@@ -52,7 +55,7 @@
   readonly counts: AccessCounts;
 }
 
-/** The dispatcher of one access node, for all queues of models and adapters. */
+/** Dispatches the prompts of all model and adapter queues at one access node. */
 export class PromptDispatcher {
   #membership: Membership;
   #admission: Admission;
@@ -60,7 +63,7 @@
   #selection: RunnerSelection;
   #pendingCalls: PendingCalls;
   #counts: AccessCounts;
-  #draws = new Map<string, QueueDraw>();
+  #dispatches = new Map<string, QueueDispatch>();
   #heartbeatAt = 0;
 
   constructor(parts: PromptDispatcherParts) {
@@ -78,16 +81,16 @@
       this.#heartbeatAt = now;
       outputs.push(...this.#heartbeats(now));
     }
-    if (this.#admission.isOpen(now)) outputs.push(...this.#drawFromQueues(now));
+    if (this.#admission.isOpen(now)) outputs.push(...this.#dequeueFromQueues(now));
     return outputs;
   }
 
-  /** Limits may have changed: waits told under the old ones no longer bind. */
+  /** Clears all backoffs after a change of limits, since they were computed from the previous ones. */
   endPauses(): void {
-    for (const draw of this.#draws.values()) draw.resumeAt = 0;
+    for (const dispatch of this.#dispatches.values()) dispatch.resumeAt = 0;
   }
 
-  /** The result of a call that nobody waits for any more: a prompt granted too late goes back at once, with its token. */
+  /** Handles the result of a call that already timed out: a prompt granted too late is returned to its queue at once, with its rate-limit token. */
   lateResult(outcome: QueueOutcome, now: number): AccessOutput[] {
     if (outcome.kind !== "confirmed" || outcome.value.kind !== "TAKEN") return [];
     const { lot, index, go } = outcome.value;
@@ -97,20 +100,20 @@
     return this.#pendingCalls.ask(call, now);
   }
 
-  /** What the link to a runner tells of an attempt of a prompt. */
+  /** Handles an event that the connection to a runner reports for an attempt of a prompt. */
   attemptEvent(attempt: number, prompt: DrawnPrompt, event: GoEvent, now: number): AccessOutput[] {
     switch (event.kind) {
       case "opened":
         return [];
       case "piece":
         if (event.number !== prompt.pieces.length)
-          return [{ kind: "abandon", go: attempt }, ...this.#break(attempt, prompt, now)];
+          return [{ kind: "abandon", go: attempt }, ...this.#recordBroken(attempt, prompt, now)];
         prompt.pieces.push(event.data);
         prompt.lastProgressAt = now;
         return [];
       case "closed": {
         const isWhole = event.pieces === prompt.pieces.length;
-        if (!isWhole) return this.#break(attempt, prompt, now);
+        if (!isWhole) return this.#recordBroken(attempt, prompt, now);
         return this.#end(attempt, prompt, { kind: "solved", result: prompt.pieces }, now);
       }
       case "troubled":
@@ -120,75 +123,85 @@
         this.#attempts.end(attempt);
         return this.#tryNextRunner(prompt, now);
       default:
-        return this.#break(attempt, prompt, now);
+        return this.#recordBroken(attempt, prompt, now);
     }
   }
 
-  /** All queues that exist, configured still or not: what was accepted is worked off. */
-  #drawFromQueues(now: number): AccessOutput[] {
+  /** Covers every existing queue, even one that is no longer configured: accepted lots are still processed. */
+  #dequeueFromQueues(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     const accessNodes: string[] = [];
-    for (const card of this.#membership.live("access")) accessNodes.push(card.identity);
+    for (const node of this.#membership.live("access")) accessNodes.push(node.identity);
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
       if (configuration.isPoolQueue(queue)) continue;
       const dispatchers = duty.rank(queue, accessNodes).slice(0, constants.dispatchersPerQueue);
       if (dispatchers.includes(this.#membership.identity))
-        outputs.push(...this.#pop(this.#drawOf(queue), now));
+        outputs.push(...this.#dequeue(this.#dispatchOf(queue), now));
     }
     return outputs;
   }
 
-  #drawOf(queue: string): QueueDraw {
-    let draw = this.#draws.get(queue);
-    if (draw === undefined) {
+  #dispatchOf(queue: string): QueueDispatch {
+    let dispatch = this.#dispatches.get(queue);
+    if (dispatch === undefined) {
       const [model, adapter] = configuration.modelOf(queue);
-      draw = { queue, model, adapter, resumeAt: 0, isAsking: false, underWay: 0 };
-      this.#draws.set(queue, draw);
+      dispatch = { queue, model, adapter, resumeAt: 0, isDequeuing: false, inFlight: 0 };
+      this.#dispatches.set(queue, dispatch);
     }
-    return draw;
+    return dispatch;
   }
 
-  /** One draw at a time: it is asked for once, as a second asking would take a second prompt. */
-  #pop(draw: QueueDraw, now: number): AccessOutput[] {
-    if (draw.isAsking || now < draw.resumeAt || draw.underWay >= constants.dispatchWidth) return [];
-    const unable = this.#seasonsWithoutRoom(draw, now);
-    if (unable === undefined) return [];
-    draw.isAsking = true;
+  /** Sends one dequeue request at a time and never repeats it, since a repeated request would claim a second prompt. */
+  #dequeue(dispatch: QueueDispatch, now: number): AccessOutput[] {
+    if (
+      dispatch.isDequeuing ||
+      now < dispatch.resumeAt ||
+      dispatch.inFlight >= constants.dispatchWidth
+    )
+      return [];
+    const saturated = this.#saturatedSeasons(dispatch, now);
+    if (saturated === undefined) return [];
+    dispatch.isDequeuing = true;
     const command: QueueCommand = {
       kind: "pop",
       holder: this.#membership.identity,
-      ...(unable.length === 0 ? {} : { unable }),
+      ...(saturated.length === 0 ? {} : { unable: saturated }),
     };
     const askedAt = now;
     const onResult = (outcome: QueueOutcome, later: number): AccessOutput[] => {
-      draw.isAsking = false;
-      return this.#popped(draw, outcome, askedAt, later);
+      dispatch.isDequeuing = false;
+      return this.#handleDequeueResult(dispatch, outcome, askedAt, later);
     };
-    const call = { queue: draw.queue, command, patience: constants.grantLasts, onResult };
+    const call = { queue: dispatch.queue, command, patience: constants.grantLasts, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
-  #popped(draw: QueueDraw, outcome: QueueOutcome, askedAt: number, now: number): AccessOutput[] {
+  #handleDequeueResult(
+    dispatch: QueueDispatch,
+    outcome: QueueOutcome,
+    askedAt: number,
+    now: number,
+  ): AccessOutput[] {
     if (outcome.kind !== "confirmed") {
-      draw.resumeAt = now + constants.emptyPause;
+      dispatch.resumeAt = now + constants.emptyPause;
       return [];
     }
     const { value } = outcome;
     if (value.kind === "TAKEN") {
       this.#counts.popped += 1;
-      draw.underWay += 1;
-      const prompt = drawnPrompt(draw.queue, value, askedAt, now);
-      return [...this.#tryNextRunner(prompt, now), ...this.#pop(draw, now)];
+      dispatch.inFlight += 1;
+      const prompt = promptJob(dispatch.queue, value, askedAt, now);
+      return [...this.#tryNextRunner(prompt, now), ...this.#dequeue(dispatch, now)];
     }
     const pause =
       value.kind === "RATE_LIMITED" ? (value.wait ?? constants.pauseMost) : constants.emptyPause;
-    draw.resumeAt = now + pause;
+    dispatch.resumeAt = now + pause;
     return [];
   }
 
-  /** Seasons of a queue whose runners have no room now; undefined where no runner has. */
-  #seasonsWithoutRoom({ queue, model, adapter }: QueueDraw, now: number): string[] | undefined {
+  /** Returns the seasons (calendar classes) of a queue whose runners have no free slots now; undefined if no runner has any. */
+  #saturatedSeasons({ queue, model, adapter }: QueueDispatch, now: number): string[] | undefined {
     const demand: RunnerDemand = {
       kind: "model",
       model,
@@ -198,9 +211,9 @@
       seatPart: constants.lotPart,
     };
     if (this.#selection.choose(demand, now) === undefined) return undefined;
-    const standing = this.#membership.follower.read<QueueStanding>(keys.standing + queue);
+    const quota = this.#membership.follower.read<QueueStanding>(keys.standing + queue);
     const full: string[] = [];
-    for (const { season, runners: selectors } of standingClasses(standing)) {
+    for (const { season, runners: selectors } of standingClasses(quota)) {
       if (selectors.length === 0) continue;
       if (this.#selection.choose({ ...demand, selectors }, now) === undefined) full.push(season);
     }
@@ -208,24 +221,24 @@
   }
 
   #tryNextRunner(prompt: DrawnPrompt, now: number): AccessOutput[] {
-    const draw = this.#drawOf(prompt.queue);
-    const runner = this.#nextRunner(prompt, draw, now);
+    const dispatch = this.#dispatchOf(prompt.queue);
+    const runner = this.#chooseRunner(prompt, dispatch, now);
     if (runner === undefined) {
-      draw.resumeAt = Math.max(draw.resumeAt, now + NO_RUNNER_PAUSE);
+      dispatch.resumeAt = Math.max(dispatch.resumeAt, now + NO_RUNNER_BACKOFF_MS);
       return this.#record(prompt, { kind: "unsent" }, now);
     }
     prompt.triedRunners.add(runner.id);
     const request = `${prompt.lot}/${prompt.index}/${prompt.claim}`;
-    const { model, adapter } = draw;
+    const { model, adapter } = dispatch;
     const body = runnerRequestBody({ request, model, adapter, prompt: prompt.prompt });
     const work: Work = { kind: "stream", request, body };
     const silence = constants.promptSilence;
     return [this.#attempts.start({ job: prompt, runner, work, silence }, now)];
   }
 
-  #nextRunner(
+  #chooseRunner(
     prompt: DrawnPrompt,
-    { model, adapter }: QueueDraw,
+    { model, adapter }: QueueDispatch,
     now: number,
   ): RunnerCard | undefined {
     const { triedRunners, selectors } = prompt;
@@ -245,8 +258,8 @@
     );
   }
 
-  /** It may have run, and no whole result came. */
-  #break(attempt: number, prompt: DrawnPrompt, now: number): AccessOutput[] {
+  /** Records that the prompt may have run but returned no complete result. */
+  #recordBroken(attempt: number, prompt: DrawnPrompt, now: number): AccessOutput[] {
     return this.#end(attempt, prompt, { kind: "broken" }, now);
   }
 
@@ -256,11 +269,11 @@
   }
 
   #record(prompt: DrawnPrompt, ending: Ending, now: number): AccessOutput[] {
-    this.#drawOf(prompt.queue).underWay -= 1;
+    this.#dispatchOf(prompt.queue).inFlight -= 1;
     this.#count(ending);
     const { queue, lot, index, claim } = prompt;
     const command: QueueCommand = { kind: "record", lot, index, go: claim, ending };
-    const call = { queue, command, patience: RECORD_PATIENCE, onResult: ignoreResult };
+    const call = { queue, command, patience: RECORD_TIMEOUT_MS, onResult: ignoreResult };
     return this.#pendingCalls.ask(call, now);
   }
 
@@ -271,7 +284,7 @@
     else this.#counts.broken += 1;
   }
 
-  /** Runners report on themselves alone: the sign of life of a prompt is its tokens, seen here (§5.4). */
+  /** Sends heartbeats for claimed prompts. Runners report only on themselves, so a prompt counts as alive while its output makes progress here. */
   #heartbeats(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [queue, items] of groupByQueue(this.#claims(now))) {
@@ -282,7 +295,7 @@
     return outputs;
   }
 
-  /** Claims of prompts that make progress, and of those whose end the owner has not recorded yet. */
+  /** Yields the claims of prompts that make progress and of those whose outcome the owner has not recorded yet. */
   *#claims(now: number): Generator<QueueClaim> {
     for (const { queue, lot, index, claim, lastProgressAt } of this.#attempts.prompts())
       if (now - lastProgressAt <= constants.promptSilence) yield [queue, { lot, index, go: claim }];
@@ -293,17 +306,22 @@
   }
 }
 
-/** askedAt: when the draw was asked for, from which its grant counts. */
-function drawnPrompt(queue: string, taken: TakenPrompt, askedAt: number, now: number): DrawnPrompt {
+/** @param askedAt when the dequeue request was sent; the grant counts from then */
+function promptJob(
+  queue: string,
+  dequeued: DequeuedPrompt,
+  askedAt: number,
+  now: number,
+): DrawnPrompt {
   return {
     kind: "prompt",
     queue,
-    lot: taken.lot,
-    index: taken.index,
-    claim: taken.go,
-    prompt: taken.prompt,
-    routeName: taken.way,
-    selectors: taken.runners ?? [],
+    lot: dequeued.lot,
+    index: dequeued.index,
+    claim: dequeued.go,
+    prompt: dequeued.prompt,
+    routeName: dequeued.way,
+    selectors: dequeued.runners ?? [],
     grantedUntil: askedAt + heldFor(constants.grantLasts),
     triedRunners: new Set(),
     pieces: [],
--- a/packages/data/src/tenants.ts
+++ b/packages/data/src/tenants.ts
@@ -1,28 +1,28 @@
-/** Who calls, by the credential that a request presents, as the configuration in force names its tenants (docs/design.md §13.10). */
+/** Identifies the tenant of a request by its credential, using the current configuration (docs/design.md §13.10). */
 import type { Configuration, Passage } from "@chutewick/control";
 import type { Tenancy } from "@chutewick/parts";
 import type { FleetView } from "./fleet-view.js";
 
 type Tenants = NonNullable<Configuration["tenants"]>;
 
-/** A tenant as requests are served for it. */
+/** The settings of a tenant that matter to its requests. */
 interface KnownTenant {
   readonly name: string;
-  /** In place of the passage's. */
+  /** Priority that overrides the rank of the passage. */
   readonly rank: number | undefined;
 }
 
-/** On whose behalf a request is served. */
+/** The tenant on whose behalf a request is served. */
 export interface Identity {
-  /** Undefined where the configuration names no tenants. */
+  /** Undefined if the configuration defines no tenants. */
   readonly tenancy: Tenancy | undefined;
-  /** The tenant's own rank; undefined where that of the passage holds. */
+  /** The tenant's own rank (priority); undefined if the rank of the passage applies. */
   readonly rank: number | undefined;
 }
 
 const WITHOUT_TENANTS: Identity = { tenancy: undefined, rank: undefined };
 
-/** An index from credentials to tenants, built once for each version that changes them. */
+/** Index from credentials to tenants, rebuilt when a configuration version changes the tenants. */
 export class TenantDirectory {
   #fleet: Pick<FleetView, "configuration">;
   #indexed: Tenants | undefined;
@@ -32,12 +32,12 @@
     this.#fleet = fleet;
   }
 
-  /** Undefined where the passage asks for a credential and the one presented is missing or belongs to no tenant. */
+  /** Returns undefined if the passage requires a credential and the one presented is missing or unknown. */
   identify(passage: Passage, credential: string | undefined): Identity | undefined {
     return this.identifyReader(passage.keyless === true, credential);
   }
 
-  /** The same where several passages are in question. */
+  /** Like `identify`, for a reader of lots, which may belong to several passages. */
   identifyReader(isKeyless: boolean, credential: string | undefined): Identity | undefined {
     const { tenants } = this.#fleet.configuration.value;
     if (tenants === undefined) return WITHOUT_TENANTS;
--- a/packages/data/src/usage/usage-counter.ts
+++ b/packages/data/src/usage/usage-counter.ts
@@ -1,48 +1,47 @@
-/** Live requests that began to run at a runner, by window of true time and tenant; without I/O (docs/design.md §14.2). */
+/** Counts the live requests that started at a runner, by tenant and window of the agreed time; without I/O (docs/design.md §14.2). */
 import type { TenantCount, WindowUsage } from "@chutewick/control";
 import { constants, type AgreedTime } from "@chutewick/parts";
 
-/** Counts of one window. */
+/** Counts of one window, by tenant. */
 interface CountedWindow {
   readonly tenants: Map<string, { count: number; changedAt: number }>;
-  /** Number of its last change. */
+  /** Sequence number of its last change. */
   changedAt: number;
 }
 
-/** Counts that changed, and the number of the last change among them. */
+/** Changed counts, with the sequence number of the last change among them. */
 export interface ChangedUsage {
   readonly upTo: number;
   readonly windows: readonly WindowUsage[];
 }
 
-/** Counts of this node, kept until control machines that restart need them no more. */
+/** Usage counts of this node, retained long enough to resend them to control machines that restart. */
 export class UsageCounter {
   readonly #windows = new Map<number, CountedWindow>();
   readonly #time: AgreedTime;
-  /** ms. */
-  readonly #length: number | undefined;
+  readonly #windowLengthMs: number | undefined;
   #changes = 0;
 
-  /** Counts nothing where windows have no length. */
-  constructor(time: AgreedTime, length: number | undefined) {
+  /** @param windowLengthMs length of a window; if undefined, nothing is counted */
+  constructor(time: AgreedTime, windowLengthMs: number | undefined) {
     this.#time = time;
-    this.#length = length;
+    this.#windowLengthMs = windowLengthMs;
   }
 
-  /** Number of the last change. */
+  /** Sequence number of the last change. */
   get changes(): number {
     return this.#changes;
   }
 
-  /** The window in force; undefined where nothing is counted. */
+  /** Returns the current window number; undefined if nothing is counted or the agreed time is not known. */
   windowAt(now: number): number | undefined {
     const time = this.#time.at(now);
-    return this.#length === undefined || time === undefined
+    return this.#windowLengthMs === undefined || time === undefined
       ? undefined
-      : Math.floor(time / this.#length);
+      : Math.floor(time / this.#windowLengthMs);
   }
 
-  /** A request of a tenant began to run in a window, to which it belongs whatever clocks do afterwards. */
+  /** Counts a request of a tenant in the window in which it started; later clock changes do not move it to another one. */
   began(tenant: string, window: number): void {
     this.#changes += 1;
     let counted = this.#windows.get(window);
@@ -51,15 +50,15 @@
       this.#windows.set(window, counted);
     }
     counted.changedAt = this.#changes;
-    const held = counted.tenants.get(tenant);
-    if (held === undefined) counted.tenants.set(tenant, { count: 1, changedAt: this.#changes });
+    const existing = counted.tenants.get(tenant);
+    if (existing === undefined) counted.tenants.set(tenant, { count: 1, changedAt: this.#changes });
     else {
-      held.count += 1;
-      held.changedAt = this.#changes;
+      existing.count += 1;
+      existing.changedAt = this.#changes;
     }
   }
 
-  /** Counts that changed after a change: all of them, or the earliest where they are too many for one message. */
+  /** Returns the counts that changed after a given change; only the earliest ones if all do not fit into one message. */
   changedSince(change: number): ChangedUsage {
     const changed: { window: number; count: TenantCount; changedAt: number }[] = [];
     for (const [window, { tenants, changedAt: newest }] of this.#windows) {
@@ -74,13 +73,13 @@
     return { upTo: first.at(-1)!.changedAt, windows: byWindow(first) };
   }
 
-  /** Forgets windows that ended long ago. */
+  /** Deletes windows that are past their retention. */
   forget(now: number): void {
     const current = this.windowAt(now);
-    if (current === undefined || this.#length === undefined) return;
-    const kept = Math.ceil(constants.usageKept / this.#length);
+    if (current === undefined || this.#windowLengthMs === undefined) return;
+    const retainedWindows = Math.ceil(constants.usageKept / this.#windowLengthMs);
     for (const window of this.#windows.keys())
-      if (Math.abs(window - current) > kept) this.#windows.delete(window);
+      if (Math.abs(window - current) > retainedWindows) this.#windows.delete(window);
   }
 }
 
--- a/packages/data/src/usage/usage-reports.ts
+++ b/packages/data/src/usage/usage-reports.ts
@@ -1,80 +1,85 @@
-/** Tells control machines what the usage counter of an access node counts; without I/O (docs/design.md §14.2). */
+/** Reports the usage counts of an access node to control machines; without I/O (docs/design.md §14.2). */
 import type { LeaseMessage, UsageMessage, UsageTakenMessage } from "@chutewick/control";
 import { constants } from "@chutewick/parts";
 import type { Send } from "../membership.js";
 import type { UsageCounter } from "./usage-counter.js";
 
-/** How one control machine stands with the counts of this node. */
-interface ControlStanding {
-  /** Of the control machine. */
+/** Report progress of one control machine. */
+interface ReportProgress {
+  /** Incarnation of the control machine. */
   life: string;
-  /** The last change that this life of it has acknowledged. */
+  /** Sequence number of the last change that this incarnation has acknowledged. */
   acknowledged: number;
-  /** ms, monotonic. */
+  /** Monotonic time (ms) of the last lease message from it. */
   heardAt: number;
-  toldAt: number;
+  /** Monotonic time (ms) of the last report to it. */
+  reportedAt: number;
 }
 
-/** Tells each control machine what it has not acknowledged yet, in bounded messages. */
+/** Sends each control machine the counts that it has not acknowledged yet, in messages of bounded size. */
 export class UsageReports {
   readonly #counter: UsageCounter;
-  /** The life of this node. */
-  readonly #life: string;
-  /** By address. */
-  readonly #controls = new Map<string, ControlStanding>();
-  #told = 0;
+  /** Incarnation of this node. */
+  readonly #incarnation: string;
+  /** Report progress by address of the control machine. */
+  readonly #controls = new Map<string, ReportProgress>();
+  #sentReports = 0;
 
-  constructor(counter: UsageCounter, life: string) {
+  constructor(counter: UsageCounter, incarnation: string) {
     this.#counter = counter;
-    this.#life = life;
+    this.#incarnation = incarnation;
   }
 
-  /** Messages with counts that were sent. */
+  /** Number of reports sent. */
   get told(): number {
-    return this.#told;
+    return this.#sentReports;
   }
 
-  /** A control machine is there; one that restarted lacks all that an earlier life of it took. */
+  /** Records a lease message of a control machine; a new incarnation starts without any counts, so all are sent again. */
   heard(from: string, { stamp }: LeaseMessage, now: number): void {
     if (stamp === undefined) return;
-    const held = this.#controls.get(from);
-    if (held?.life === stamp.life) held.heardAt = now;
+    const progress = this.#controls.get(from);
+    if (progress?.life === stamp.life) progress.heardAt = now;
     else
       this.#controls.set(from, {
         life: stamp.life,
         acknowledged: 0,
         heardAt: now,
-        toldAt: Number.NEGATIVE_INFINITY,
+        reportedAt: Number.NEGATIVE_INFINITY,
       });
   }
 
-  /** An acknowledgement counts only where nothing is missing between it and what was acknowledged before. */
+  /** Handles an acknowledgement; it is ignored if there is a gap between it and what was acknowledged before. */
   taken(from: string, { life, since, upTo }: UsageTakenMessage): void {
-    const held = this.#controls.get(from);
-    if (held === undefined || held.life !== life || since > held.acknowledged) return;
-    held.acknowledged = Math.max(held.acknowledged, upTo);
+    const progress = this.#controls.get(from);
+    if (progress === undefined || progress.life !== life || since > progress.acknowledged) return;
+    progress.acknowledged = Math.max(progress.acknowledged, upTo);
   }
 
-  /** Tells what is new: with the heartbeats, which go out at the same moment, and soon where none does. */
+  /** Reports new counts together with the heartbeats, or on their own once the reporting interval has passed. */
   beat(now: number, areHeartbeatsSent: boolean): Send[] {
     const sends: Send[] = [];
-    for (const [to, control] of this.#controls) {
-      if (now - control.heardAt > constants.sessionLasts) this.#controls.delete(to);
-      else if (this.#isDue(control, now, areHeartbeatsSent)) {
-        control.toldAt = now;
-        sends.push({ kind: "send", to, message: this.#messageSince(control.acknowledged) });
+    for (const [to, progress] of this.#controls) {
+      if (now - progress.heardAt > constants.sessionLasts) this.#controls.delete(to);
+      else if (this.#isDue(progress, now, areHeartbeatsSent)) {
+        progress.reportedAt = now;
+        sends.push({ kind: "send", to, message: this.#messageSince(progress.acknowledged) });
       }
     }
-    this.#told += sends.length;
+    this.#sentReports += sends.length;
     return sends;
   }
 
-  #isDue({ acknowledged, toldAt }: ControlStanding, now: number, withHeartbeats: boolean): boolean {
+  #isDue(
+    { acknowledged, reportedAt }: ReportProgress,
+    now: number,
+    withHeartbeats: boolean,
+  ): boolean {
     if (acknowledged >= this.#counter.changes) return false;
-    return withHeartbeats || now - toldAt >= constants.usageTellEvery;
+    return withHeartbeats || now - reportedAt >= constants.usageTellEvery;
   }
 
   #messageSince(since: number): UsageMessage {
-    return { kind: "usage", life: this.#life, since, ...this.#counter.changedSince(since) };
+    return { kind: "usage", life: this.#incarnation, since, ...this.#counter.changedSince(since) };
   }
 }
--- a/packages/data/src/warm-up/sample-caller.ts
+++ b/packages/data/src/warm-up/sample-caller.ts
@@ -1,38 +1,37 @@
-/** A caller of a warm-up: sends one request on a connection of its own and reads the answer to its end. */
+/** Caller of a warm-up: sends one request on its own connection and reads the response to its end. */
 import { connect } from "node:net";
 import { SAMPLE_HOST, SAMPLE_PATH } from "./sample-fleet.js";
 import type { WarmUpSample } from "./warm-up-sample.js";
 
-/** bytes. About the size of a prompt that is sent most often. */
+/** Request body of about the most common prompt size. */
 const BODY = Buffer.alloc(1_000, "sample ");
 
-/** ms. A call that takes longer is given up. */
-const CALL_PATIENCE = 3_000;
+const CALL_TIMEOUT_MS = 3_000;
 
-/** @returns whether a whole answer came */
+/** @returns whether a complete response arrived */
 export function callOnce(address: string, sample: WarmUpSample, number: number): Promise<boolean> {
-  const cut = address.lastIndexOf(":");
+  const colon = address.lastIndexOf(":");
   const socket = connect({
-    host: address.slice(0, cut),
-    port: Number(address.slice(cut + 1)),
+    host: address.slice(0, colon),
+    port: Number(address.slice(colon + 1)),
     noDelay: true,
   });
-  let answer = "";
+  let response = "";
   function call(resolve: (isWhole: boolean) => void): void {
     function read(bytes: Buffer): void {
-      answer += bytes.toString("latin1");
+      response += bytes.toString("latin1");
     }
-    function closed(): void {
-      clearTimeout(patience);
-      resolve(answer.startsWith("HTTP/1.1 200") && answer.endsWith("0\r\n\r\n"));
+    function finish(): void {
+      clearTimeout(timeout);
+      resolve(response.startsWith("HTTP/1.1 200") && response.endsWith("0\r\n\r\n"));
     }
-    function giveUp(): void {
+    function abort(): void {
       socket.destroy();
     }
-    const patience = setTimeout(giveUp, CALL_PATIENCE);
+    const timeout = setTimeout(abort, CALL_TIMEOUT_MS);
     socket.on("data", read);
     socket.on("error", ignored);
-    socket.once("close", closed);
+    socket.once("close", finish);
     socket.write(headOf(sample, number));
     socket.write(BODY);
   }
--- a/packages/data/src/warm-up/sample-fleet.ts
+++ b/packages/data/src/warm-up/sample-fleet.ts
@@ -1,4 +1,4 @@
-/** The fleet that a warm-up plays against: one pool of runners at loopback addresses and one passage of streams to it. */
+/** The fleet of a warm-up: one pool of runners at loopback addresses and one streaming passage to it. */
 import {
   configuration,
   type MarkedConfiguration,
@@ -10,15 +10,15 @@
 
 const POOL = "warm-up";
 
-/** Where the passage of the sample fleet stands. */
+/** Host and path prefix of the passage of the sample fleet. */
 export const SAMPLE_HOST = "warm-up.example";
 export const SAMPLE_PATH = "/warm-up/";
 
-/** Seats of a runner: far more than the calls of a warm-up take at once. */
-const SEATS = 16;
+/** Concurrency slots of a runner: far more than a warm-up uses at once. */
+const RUNNER_SLOTS = 16;
 
-/** ms. Patience, aim and pause between events of the passage: long, since a warm-up runs on a busy machine too. */
-const PATIENCE = 10_000;
+/** Deadline, target and event gap of the passage: long, since a warm-up may run on a busy machine. */
+const TIMEOUT_MS = 10_000;
 
 const pool: Pool = { models: [], connections: 0, probePath: "/" };
 
@@ -29,9 +29,9 @@
   pools: [{ pool: POOL, weight: 1 }],
   rank: 0,
   goesMost: 1,
-  guard: PATIENCE,
-  aim: PATIENCE,
-  gap: PATIENCE,
+  guard: TIMEOUT_MS,
+  aim: TIMEOUT_MS,
+  gap: TIMEOUT_MS,
   resumable: true,
   affinity: true,
   waitingTokens: 0,
@@ -79,7 +79,7 @@
     kind: "model",
     models: [],
     labels: {},
-    seats: SEATS,
+    seats: RUNNER_SLOTS,
     zone: "",
     burden: 0,
     age: 0,
--- a/packages/data/src/warm-up/sample-runner.ts
+++ b/packages/data/src/warm-up/sample-runner.ts
@@ -1,21 +1,21 @@
-/** A runner of a warm-up: answers each request with a short stream of events. */
+/** Runner of a warm-up: answers each request with a short event stream. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
 import type { WarmUpSample } from "./warm-up-sample.js";
 
 const LOOPBACK = "127.0.0.1";
 
-/** Events of an answer, and how many go out together. */
-const EVENTS = 8;
+/** Events of a response, all written at once. */
+const EVENTS_PER_RESPONSE = 8;
 
-/** Every so many answers end their connection, so that making new ones is played too. */
-const CONNECTION_LASTS = 4;
+/** The connection is closed after this many responses, so that opening new ones is warmed up too. */
+const RESPONSES_PER_CONNECTION = 4;
 
-/** One runner, on a loopback address of its own. */
+/** One runner on its own loopback address. */
 export class SampleRunner {
   #server: Server;
   #sample: WarmUpSample;
-  #answered = 0;
+  #responses = 0;
 
   constructor(sample: WarmUpSample) {
     this.#sample = sample;
@@ -42,14 +42,14 @@
   }
 
   #answer(request: IncomingMessage, response: ServerResponse): void {
-    this.#answered += 1;
-    if (this.#answered % CONNECTION_LASTS === 0) response.shouldKeepAlive = false;
+    this.#responses += 1;
+    if (this.#responses % RESPONSES_PER_CONNECTION === 0) response.shouldKeepAlive = false;
     response.writeHead(200, {
       "content-type": "text/event-stream",
       ...this.#sample.answerHeaders(request.headers),
     });
     function writeEvents(): void {
-      for (let event = 0; event < EVENTS; event += 1)
+      for (let event = 0; event < EVENTS_PER_RESPONSE; event += 1)
         response.write(`id: ${event}\ndata: event ${event} of a sample\n\n`);
       response.end();
     }
--- a/packages/data/src/warm-up/warm-up.ts
+++ b/packages/data/src/warm-up/warm-up.ts
@@ -1,7 +1,7 @@
 /**
- * Plays the path of live requests against itself before callers come, so that the first ones run code that is compiled
- * already (docs/design.md §13.9). Everything it plays on is its own: front, relay, choice, links and a runner at loopback
- * addresses; nothing of the node's own state is touched.
+ * Exercises the path of live requests before callers connect, so that the first calls run code that is already compiled
+ * (docs/design.md §13.9). A warm-up uses its own adapter, relay, balancer, connections and runners at loopback addresses
+ * and does not touch the state of the node.
  */
 import { setTimeout as pause } from "node:timers/promises";
 import { callerLimits, policy } from "@chutewick/parts";
@@ -21,19 +21,18 @@
 
 const LOOPBACK_FREE_PORT = "127.0.0.1:0";
 
-/** Runners of the sample fleet, so that a choice compares some. */
-const RUNNERS = 3;
+/** Number of runners in the sample fleet: more than one, so that the balancer has runners to compare. */
+const RUNNER_COUNT = 3;
 
-/** Connections to one runner. */
-const CONNECTIONS = 4;
+const CONNECTIONS_PER_RUNNER = 4;
 
-/** Calls after which a warm-up ends: beyond them the time of a call falls little (docs/decisions.md). */
-const CALLS = 40;
+/** Maximum number of calls: more of them reduce the time of a call only a little (docs/decisions.md). */
+const MAX_CALLS = 40;
 
-/** ms. Between two calls, so that the node's own messages are not held up. */
-const PAUSE = 2;
+/** Pause between two calls, so that the node's own messages are not delayed. */
+const PAUSE_MS = 2;
 
-const standing: Standing = {
+const nodeIdentity: Standing = {
   identity: "warm-up",
   address: LOOPBACK_FREE_PORT,
   kind: "access",
@@ -41,13 +40,15 @@
   http: LOOPBACK_FREE_PORT,
 };
 
-/** How a warm-up went. */
+/** Result of a warm-up. */
 export interface WarmUpResult {
-  /** Calls made, and those of them that got a whole answer. */
+  /** Number of calls made. */
   readonly calls: number;
+  /** Number of calls that got a complete response. */
   readonly answered: number;
-  /** ms. Time of the first call and of the last one. */
+  /** Duration of the first call in ms. */
   readonly first: number;
+  /** Duration of the last call in ms. */
   readonly last: number;
 }
 
@@ -57,72 +58,73 @@
   #runners: SampleRunner[] = [];
   #callers = new PassCallers();
   #tickets = 0;
-  #dialect: RunnerDialect;
+  #protocol: RunnerDialect;
 
-  constructor(dialect: RunnerDialect, sample: WarmUpSample) {
-    this.#dialect = dialect;
+  constructor(protocol: RunnerDialect, sample: WarmUpSample) {
+    this.#protocol = protocol;
     this.#sample = sample;
   }
 
-  /** @param isWanted asked before each call; the warm-up ends where it says no */
+  /** @param isWanted checked before each call; the warm-up ends once it returns false */
   async run(isWanted: () => boolean): Promise<WarmUpResult> {
-    const front = this.#sample.front(LOOPBACK_FREE_PORT);
-    const links = await this.#openPath(front);
-    const result = await this.#play(front, isWanted);
-    links.close();
-    await front.close();
+    const adapter = this.#sample.front(LOOPBACK_FREE_PORT);
+    const connections = await this.#openPath(adapter);
+    const result = await this.#runCalls(adapter, isWanted);
+    connections.close();
+    await adapter.close();
     for (const runner of this.#runners) runner.close();
     return result;
   }
 
-  async #play(front: SampleFront, isWanted: () => boolean): Promise<WarmUpResult> {
+  async #runCalls(adapter: SampleFront, isWanted: () => boolean): Promise<WarmUpResult> {
     let calls = 0;
     let answered = 0;
     let first = 0;
     let last = 0;
-    while (calls < CALLS && isWanted()) {
+    while (calls < MAX_CALLS && isWanted()) {
       const startedAt = monotonic();
-      if (await callOnce(front.address, this.#sample, calls)) answered += 1;
+      if (await callOnce(adapter.address, this.#sample, calls)) answered += 1;
       last = monotonic() - startedAt;
       if (calls === 0) first = last;
       calls += 1;
-      await pause(PAUSE);
+      await pause(PAUSE_MS);
     }
     return { calls, answered, first, last };
   }
 
-  /** Puts front, relay, choice, links and runners together as an access process does. */
-  async #openPath(front: SampleFront): Promise<PassConnections> {
+  /** Assembles adapter, relay, balancer, connections and runners as an access process does. */
+  async #openPath(adapter: SampleFront): Promise<PassConnections> {
     const addresses: string[] = [];
-    for (let index = 0; index < RUNNERS; index += 1) {
+    for (let index = 0; index < RUNNER_COUNT; index += 1) {
       const runner = new SampleRunner(this.#sample);
       addresses.push(await runner.open());
       this.#runners.push(runner);
     }
     const fleet = new SampleFleet(addresses);
-    const choice = new Choice(fleet, standing);
-    const relay = new RelayCore(fleet, choice, policy.usual);
+    const balancer = new Choice(fleet, nodeIdentity);
+    const relay = new RelayCore(fleet, balancer, policy.usual);
     const perform = (outputs: readonly PassOutput[]): void => {
-      for (const output of outputs) this.#perform(output, links);
+      for (const output of outputs) this.#perform(output, connections);
     };
-    const links = new PassConnections({
-      dialect: this.#dialect,
-      mayStart: (go: number) => relay.mayStart(go, monotonic()),
-      told: (go: number, event: PassEvent) => perform(relay.goEvent(go, event, monotonic())),
-      share: () => CONNECTIONS,
+    const connections = new PassConnections({
+      dialect: this.#protocol,
+      mayStart: (attempt: number) => relay.mayStart(attempt, monotonic()),
+      told: (attempt: number, event: PassEvent) =>
+        perform(relay.goEvent(attempt, event, monotonic())),
+      share: () => CONNECTIONS_PER_RUNNER,
       now: monotonic,
     });
-    await front.open(this.#desk(relay, perform));
-    return links;
+    await adapter.open(this.#api(relay, perform));
+    return connections;
   }
 
-  #perform(output: PassOutput, links: PassConnections): void {
-    if (output.kind === "pass-run") links.run(output.go, output.address, output.work);
-    else if (output.kind === "pass-abandon") links.abandon(output.go);
+  #perform(output: PassOutput, connections: PassConnections): void {
+    if (output.kind === "pass-run") connections.run(output.go, output.address, output.work);
+    else if (output.kind === "pass-abandon") connections.abandon(output.go);
     else if (isForCaller(output)) this.#callers.deliver(output);
   }
 
-  #desk(relay: RelayCore, perform: (outputs: readonly PassOutput[]) => void): AccessDesk {
+  #api(relay: RelayCore, perform: (outputs: readonly PassOutput[]) => void): AccessDesk {
     const pass = (request: PassRequest, caller: PassCaller): string => {
       this.#tickets += 1;
       const ticket = `warm-up-${this.#tickets}`;
@@ -139,18 +141,18 @@
       takesLots: () => false,
       pass,
       left,
-      slow: ignored,
-      ready: ignored,
-      handIn: unused,
-      readLot: unused,
-      readItem: unused,
-      endLot: unused,
+      slow: ignore,
+      ready: ignore,
+      handIn: rejectLot,
+      readLot: rejectLot,
+      readItem: rejectLot,
+      endLot: rejectLot,
     };
   }
 }
 
-function ignored(): void {}
+function ignore(): void {}
 
-function unused(): never {
-  throw new Error("a warm-up takes no lots");
+function rejectLot(): never {
+  throw new Error("a warm-up does not accept lots");
 }
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -213,7 +213,7 @@
     section: "§5.5",
     cuts: [
       { file: lot, from: "command.lasts + constants.deadlineGrace", to: "command.lasts" },
-      { file: lotReplies, from: "Math.min(lot.lasts, value.remaining - waited)", to: "lot.lasts" },
+      { file: lotReplies, from: "Math.min(lot.lasts, value.remaining - elapsed)", to: "lot.lasts" },
     ],
   },
   "a cancelled lot takes nothing back": {
