--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,47 +1,47 @@
-Feature: the adapter only translates
-  What the platform says becomes the product's own words, and back, without loss (docs/platform.md).
+Feature: the platform adapter only translates
+  Documents, headers and settings of the platform are translated to the product's terms and back without loss (docs/platform.md).
 
-  Scenario: a whole document becomes pools and passages, and is told back as it was sent
+  Scenario: a whole document becomes pools and passages, and is returned as it was sent
     Given a platform document with revision 7, a streaming, a bulk and a split safe route
-    When it is translated on top of nothing
-    Then the mark is 7 and the product's own check takes it
+    When it is translated without a base
+    Then the version is 7 and the product's validation accepts it
     And the passages have the kinds stream, lot and safe, with their pools, bounds and allowances
-    And the document is told back as it was sent
+    And the document is returned as it was sent
 
-  Scenario: named items are put in and taken out
+  Scenario: named items are upserted and removed
     Given a platform document with revision 7, a streaming, a bulk and a split safe route
-    When it is translated on top of nothing
+    When it is translated without a base
     And a modification to revision 9 replaces the streaming route's pool and removes the bulk route
-    Then the mark is 9 and the product's own check takes it
+    Then the version is 9 and the product's validation accepts it
     And the passages have the kinds stream and safe
 
-  Scenario: an order sent again is known, also after later ones
+  Scenario: a repeated order is recognized, also after later ones
     Given a platform document with revision 7, a streaming, a bulk and a split safe route
-    When it is translated on top of nothing
+    When it is translated without a base
     And a modification to revision 9 replaces the streaming route's pool and removes the bulk route
-    Then both orders are known as taken, and others are not
+    Then both orders are recognized as accepted, and others are not
 
-  Scenario Outline: what is invalid is refused by the adapter or by the product's check
+  Scenario Outline: an invalid document is rejected by the adapter or by the product's validation
     Given a platform document with revision 7, a streaming, a bulk and a split safe route
-    When it is spoilt by <fault>
-    Then it is refused
+    When it is made invalid by <fault>
+    Then it is rejected
 
     Examples:
       | fault                |
-      | cutting it short     |
+      | truncating it     |
       | an unknown service   |
-      | the same place twice |
-      | weights of nothing   |
-      | no time to hold      |
+      | two routes at one place |
+      | weights of zero   |
+      | a zero guard time      |
       | a name twice         |
       | a limit below 0      |
-      | a limit in words     |
+      | a limit that is text     |
       | two subscribers with one key        |
       | a subscriber twice                  |
       | a subscriber of two lines           |
       | fewer runners at most than at least |
 
-  Scenario Outline: limits of an operator become those of callers
+  Scenario Outline: limits of an operator become caller limits
     Given a platform document with revision 7, a streaming, a bulk and a split safe route
     When its limits are <limits>
     Then the product's limits of callers are <callers>
@@ -53,11 +53,11 @@
       | {"maxHeaderBytes":0,"maxBodyBytes":99999999999}                                                | {"headerBytes":65536,"bodyBytes":1073741824,"headerWait":10000,"idleWait":14000} |
       | null                                                                                           | {"headerBytes":65536,"bodyBytes":16777216,"headerWait":10000,"idleWait":14000} |
 
-  Scenario: headers of a request become an inquiry, and go out to a runner again
-    When a request with its headers is read and sent on to a runner
-    Then the inquiry has its id, sizes, parts and patience
-    And the runner gets every header but those of one connection, with the rest of the time, its own id and the rank
+  Scenario: headers of a request are parsed and forwarded to a runner
+    When a request with headers is parsed and forwarded to a runner
+    Then the parsed request has its id, sizes, parts and deadline
+    And the runner gets all headers except hop-by-hop ones, with the remaining time, its own id and the rank
 
-  Scenario: a settings file with fields nobody knows becomes our settings
-    When a settings file with more fields than are known is read
-    Then seeds stand at the first internal port, and the bounds are the deployment's
+  Scenario: a settings file with unknown fields is accepted
+    When a settings file with unknown fields is read
+    Then seeds use the first internal port, and addresses and names follow the file
--- a/features/steps/duty-calls.ts
+++ b/features/steps/duty-calls.ts
@@ -1,3 +1,4 @@
+/** Steps of duty-calls.feature: the platform's duty client against a fake platform API. */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
@@ -10,7 +11,7 @@
 import { monotonic } from "@chutewick/shell";
 import { listening } from "./calls-runner.js";
 
-/** A request as the stand-in read it. */
+/** A request as received by the fake platform. */
 interface ReadCall {
   readonly path: string;
   readonly holder: string;
@@ -18,7 +19,7 @@
   readonly body: string;
 }
 
-/** The adapter's client and a stand-in of the platform's interface. */
+/** The duty client and a fake of the platform's API. */
 interface World {
   behaviour: string;
   dutyServer: Server | undefined;
@@ -29,8 +30,8 @@
   outcomes: DutyOutcome[];
 }
 
-/** ms. A short patience, so that the test waits little. */
-const patience = 100;
+/** Short timeout of a call, to keep the test fast. */
+const TIMEOUT_MS = 100;
 const report = { window: 353_445_120, counts: { huka: 412, puhu: 3 } };
 const order = { pool: "reader", zone: "hobart-a", desired: 6 };
 
@@ -41,10 +42,10 @@
   this.resets = 0;
   this.read = [];
   this.outcomes = [];
-  function requested(incoming: IncomingMessage, response: ServerResponse): void {
-    void take(self, incoming, response);
+  function onRequest(incoming: IncomingMessage, response: ServerResponse): void {
+    void handleRequest(self, incoming, response);
   }
-  const server = createServer(requested);
+  const server = createServer(onRequest);
   this.dutyServer = server;
   server.on("connection", (socket) => connected(self, socket));
   const address = `127.0.0.1:${await listening(server)}`;
@@ -64,7 +65,7 @@
   });
 }
 
-async function take(
+async function handleRequest(
   world: World,
   incoming: IncomingMessage,
   response: ServerResponse,
@@ -87,7 +88,7 @@
     case "resets the connection":
       incoming.socket.resetAndDestroy();
       return;
-    case "answers 200 and breaks off":
+    case "answers 200 and disconnects":
       response.writeHead(200, { "content-length": 1_000 });
       response.write("some", () => incoming.socket.destroy());
       return;
@@ -97,29 +98,29 @@
   }
 }
 
-async function isMade(
+async function makeCall(
   world: World,
   { duty, body, fence, sendBy }: { duty: DutyKind; body: ActBody; fence: number; sendBy: number },
 ): Promise<void> {
   const act = { duty, subject: "all", number: 1 };
-  const call: DutyCall = { act, body, holder: "control-a", fence, sendBy, patience };
+  const call: DutyCall = { act, body, holder: "control-a", fence, sendBy, patience: TIMEOUT_MS };
   world.outcomes.push(await world.dutyClient.call(call));
 }
 
 async function aReport(this: World, fence: number): Promise<void> {
-  await isMade(this, { duty: "usage", body: report, fence, sendBy: monotonic() + 1_000 });
+  await makeCall(this, { duty: "usage", body: report, fence, sendBy: monotonic() + 1_000 });
 }
 When("a usage report with fence {int} is made", aReport);
 
 async function anOrder(this: World, _desired: number, fence: number): Promise<void> {
-  await isMade(this, { duty: "scaling", body: order, fence, sendBy: monotonic() + 1_000 });
+  await makeCall(this, { duty: "scaling", body: order, fence, sendBy: monotonic() + 1_000 });
 }
 When("an order of {int} runners with fence {int} is made", anOrder);
 
-async function anOldReport(this: World): Promise<void> {
-  await isMade(this, { duty: "usage", body: report, fence: 1, sendBy: monotonic() - 1 });
+async function anExpiredReport(this: World): Promise<void> {
+  await makeCall(this, { duty: "usage", body: report, fence: 1, sendBy: monotonic() - 1 });
 }
-When("a usage report whose round is over is made", anOldReport);
+When("a usage report whose round has expired is made", anExpiredReport);
 
 function changes(this: World, behaviour: string): void {
   this.behaviour = behaviour;
@@ -131,16 +132,16 @@
 }
 Then("the outcomes are {string}", outcomesAre);
 
-function readThese(this: World, connections: number, table: DataTable): void {
+function receivedCalls(this: World, connections: number, table: DataTable): void {
   deepEqual(this.read, table.hashes());
   equal(this.platformConnections.length, connections);
 }
-Then("the platform read these on {int} connection(s):", readThese);
+Then("the platform read these on {int} connection(s):", receivedCalls);
 
-function readNothing(this: World): void {
+function receivedNothing(this: World): void {
   deepEqual(this.read, []);
 }
-Then("the platform read nothing", readNothing);
+Then("the platform read nothing", receivedNothing);
 
 function firstWasReset(this: World, opened: number): void {
   equal(this.platformConnections.length, opened);
@@ -153,15 +154,15 @@
   for (const { duties, window, kinds } of table.hashes())
     equal(kindsOf(duties!, window!), kinds, `duties ${duties}, window ${window}`);
 }
-Then("the platform's settings are understood:", settingsAre);
+Then("the platform's settings select these duties:", settingsAre);
 
-/** The kinds of duties that a settings file leads to. */
+/** Returns the kinds of duties that a settings file selects. */
 function kindsOf(duties: string, window: string): string {
   const folder = mkdtempSync(join(tmpdir(), "duties-"));
   const path = join(folder, "settings.json");
   const named = duties === "" ? [] : duties.split(",");
   const platformApi = { address: "10.200.0.151:8141", dutyPerS: 50, duties: named };
-  const told = {
+  const settings = {
     nodeName: "control-a",
     role: "core",
     ip: "127.0.0.1",
@@ -172,14 +173,14 @@
     bounds: window === "" ? {} : { reportWindowS: Number(window) },
     ...(duties === "no interface" ? {} : { platformApi }),
   };
-  writeFileSync(path, JSON.stringify(told));
-  const before = process.env["CHUTEWICK_CONFIG"];
+  writeFileSync(path, JSON.stringify(settings));
+  const previous = process.env["CHUTEWICK_CONFIG"];
   process.env["CHUTEWICK_CONFIG"] = path;
   try {
     return platformSettings.read().own.duties?.kinds.join(",") ?? "none";
   } finally {
-    if (before === undefined) delete process.env["CHUTEWICK_CONFIG"];
-    else process.env["CHUTEWICK_CONFIG"] = before;
+    if (previous === undefined) delete process.env["CHUTEWICK_CONFIG"];
+    else process.env["CHUTEWICK_CONFIG"] = previous;
     rmSync(folder, { recursive: true });
   }
 }
@@ -191,8 +192,8 @@
   });
 }
 
-async function isOver(this: World): Promise<void> {
+async function cleanUp(this: World): Promise<void> {
   this.dutyClient?.close();
   if (this.dutyServer?.listening === true) await closed(this.dutyServer);
 }
-After({ tags: "@sockets" }, isOver);
+After({ tags: "@sockets" }, cleanUp);
--- a/features/steps/platform.ts
+++ b/features/steps/platform.ts
@@ -1,3 +1,4 @@
+/** Steps of platform.feature: translation of documents, headers and settings of the platform. */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -25,9 +26,11 @@
   text: string;
   modification: string;
   first: Translated;
+  /** The last translated order; undefined if it was rejected. */
   told: Translated | undefined;
+  /** The parsed request. */
   inquiry: PassRequest;
-  sent: string[];
+  forwarded: string[];
   settings: PlatformSettings;
 }
 
@@ -106,7 +109,7 @@
   ok(this.told !== undefined);
   this.first = this.told;
 }
-When("it is translated on top of nothing", translated);
+When("it is translated without a base", translated);
 
 function limited(this: World, limits: string): void {
   this.document["limits"] = JSON.parse(limits) as unknown;
@@ -134,18 +137,18 @@
   modified,
 );
 
-function checked(told: Translated | undefined): Configuration {
-  ok(told !== undefined, "the adapter reads it");
-  const outcome = configuration.check(told.value);
+function checked(order: Translated | undefined): Configuration {
+  ok(order !== undefined, "the adapter accepts it");
+  const outcome = configuration.check(order.value);
   if (!outcome.ok) throw new Error(outcome.reason);
   return outcome.value;
 }
 
-function markIs(this: World, mark: number): void {
+function versionIs(this: World, mark: number): void {
   equal(this.told?.mark, mark);
   checked(this.told);
 }
-Then("the mark is {int} and the product's own check takes it", markIs);
+Then("the version is {int} and the product's validation accepts it", versionIs);
 
 function threeKinds(this: World): void {
   const { passages, pools } = checked(this.told);
@@ -180,12 +183,12 @@
 }
 Then("the passages have the kinds stream and safe", twoKinds);
 
-function toldBack(this: World): void {
+function isReturned(this: World): void {
   deepEqual(documents.documentOf(this.told!.origin), this.document);
 }
-Then("the document is told back as it was sent", toldBack);
+Then("the document is returned as it was sent", isReturned);
 
-function bothKnown(this: World): void {
+function areRecognized(this: World): void {
   const records = new ControlMachine();
   const ledger = new Ledger();
   function sent(order: Translated, expected: number): ControlResult {
@@ -204,20 +207,20 @@
   deepEqual(sent(others[0]!, 6), { kind: "CONFLICT", mark: 9 });
   deepEqual(sent(others[1]!, 0), { kind: "CONFLICT", mark: 9 });
 }
-Then("both orders are known as taken, and others are not", bothKnown);
+Then("both orders are recognized as accepted, and others are not", areRecognized);
 
-function spoilt(this: World, fault: string): void {
+function madeInvalid(this: World, fault: string): void {
   const [notes, slips, labels] = listed(this) as [
     Record<string, unknown>,
     Record<string, unknown>,
     Record<string, unknown>,
   ];
   if (fault === "an unknown service") notes["service"] = "nobody";
-  if (fault === "the same place twice") slips["pathPrefix"] = notes["pathPrefix"];
-  if (fault === "weights of nothing") labels["weightedSplit"] = [{ service: "printer", weight: 0 }];
-  if (fault === "no time to hold") notes["guardMs"] = 0;
+  if (fault === "two routes at one place") slips["pathPrefix"] = notes["pathPrefix"];
+  if (fault === "weights of zero") labels["weightedSplit"] = [{ service: "printer", weight: 0 }];
+  if (fault === "a zero guard time") notes["guardMs"] = 0;
   if (fault === "a limit below 0") this.document["limits"] = { maxBodyBytes: -1 };
-  if (fault === "a limit in words") this.document["limits"] = { idleGuardMs: "long" };
+  if (fault === "a limit that is text") this.document["limits"] = { idleGuardMs: "long" };
   if (fault === "a name twice") slips["name"] = notes["name"];
   if (fault === "two subscribers with one key")
     this.document["subscribers"] = [
@@ -239,18 +242,18 @@
     };
   const text = JSON.stringify(this.document);
   this.told = documents.replaced(
-    fault === "cutting it short" ? text.slice(0, text.length / 2) : text,
+    fault === "truncating it" ? text.slice(0, text.length / 2) : text,
     0,
   );
 }
-When("it is spoilt by {}", spoilt);
+When("it is made invalid by {}", madeInvalid);
 
-function refused(this: World): void {
+function rejected(this: World): void {
   ok(this.told === undefined || !configuration.check(this.told.value).ok);
 }
-Then("it is refused", refused);
+Then("it is rejected", rejected);
 
-function sentOn(this: World): void {
+function isForwarded(this: World): void {
   const headers = {
     host: "shop.example",
     connection: "keep-alive, x-hop",
@@ -267,7 +270,7 @@
   const rawHeaders: string[] = [];
   for (const [name, value] of Object.entries(headers)) rawHeaders.push(name, value);
   this.inquiry = dialect.inquiry("POST", "/notes/2f?x=1", rawHeaders, headers, Buffer.from("abc"))!;
-  this.sent = new PlatformDialect().headers(
+  this.forwarded = new PlatformDialect().headers(
     {
       request: this.inquiry,
       runner: "r-1",
@@ -281,9 +284,9 @@
     100,
   );
 }
-When("a request with its headers is read and sent on to a runner", sentOn);
+When("a request with headers is parsed and forwarded to a runner", isForwarded);
 
-function isRead(this: World): void {
+function isParsed(this: World): void {
   const { id, model, tokensIn, tokensOut, parts, patience, resumeAfter, path } = this.inquiry;
   deepEqual(
     { id, model, tokensIn, tokensOut, patience, resumeAfter, path },
@@ -302,29 +305,29 @@
     { name: "91bd", size: 660 },
   ]);
 }
-Then("the inquiry has its id, sizes, parts and patience", isRead);
+Then("the parsed request has its id, sizes, parts and deadline", isParsed);
 
-function isSent(this: World): void {
-  const told = new Map<string, string>();
-  for (let index = 0; index < this.sent.length; index += 2)
-    told.set(this.sent[index]!.toLowerCase(), this.sent[index + 1]!);
-  for (const name of ["connection", "x-hop", "content-length"]) ok(!told.has(name), name);
+function hasForwardedHeaders(this: World): void {
+  const headers = new Map<string, string>();
+  for (let index = 0; index < this.forwarded.length; index += 2)
+    headers.set(this.forwarded[index]!.toLowerCase(), this.forwarded[index + 1]!);
+  for (const name of ["connection", "x-hop", "content-length"]) ok(!headers.has(name), name);
   deepEqual(
     [
-      told.get("host"),
-      told.get("x-kept"),
-      told.get("chutewick-attempt-id"),
-      told.get("chutewick-remaining-ms"),
-      told.get("chutewick-expected-instance"),
-      told.get("chutewick-precedence"),
-      told.get("last-event-id"),
+      headers.get("host"),
+      headers.get("x-kept"),
+      headers.get("chutewick-attempt-id"),
+      headers.get("chutewick-remaining-ms"),
+      headers.get("chutewick-expected-instance"),
+      headers.get("chutewick-precedence"),
+      headers.get("last-event-id"),
     ],
     ["shop.example", "yes", "a1", "3500", "r-1", "2", "4"],
   );
 }
 Then(
-  "the runner gets every header but those of one connection, with the rest of the time, its own id and the rank",
-  isSent,
+  "the runner gets all headers except hop-by-hop ones, with the remaining time, its own id and the rank",
+  hasForwardedHeaders,
 );
 
 function aSettingsFile(this: World): void {
@@ -356,9 +359,9 @@
   delete process.env["CHUTEWICK_CONFIG"];
   rmSync(folder, { recursive: true });
 }
-When("a settings file with more fields than are known is read", aSettingsFile);
+When("a settings file with unknown fields is read", aSettingsFile);
 
-function areOurs(this: World): void {
+function hasSettings(this: World): void {
   const { own } = this.settings;
   deepEqual(own.seeds, ["10.0.0.1:7660", "10.0.0.2:7660"]);
   deepEqual(
@@ -366,4 +369,4 @@
     ["storage-a-1", "a", "10.0.0.5:7660", "10.0.0.5:7661", "/data/x"],
   );
 }
-Then("seeds stand at the first internal port, and the bounds are the deployment's", areOurs);
+Then("seeds use the first internal port, and addresses and names follow the file", hasSettings);
--- a/features/steps/usage-starts.ts
+++ b/features/steps/usage-starts.ts
@@ -1,4 +1,4 @@
-/** Steps on the starts that the relay counts, in virtual time (docs/design.md §14.2). */
+/** Steps of usage-starts.feature: starts of requests that the relay counts, in virtual time (docs/design.md §14.2). */
 import { deepEqual, equal } from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
 import { RelayCore, UsageCounter } from "@chutewick/data";
--- a/features/steps/usage.ts
+++ b/features/steps/usage.ts
@@ -1,4 +1,4 @@
-/** Steps on usage counted by access nodes and told to control machines, in virtual time (docs/design.md §14.2). */
+/** Steps of usage.feature: usage that access nodes count and report to control machines, in virtual time (docs/design.md §14.2). */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
@@ -12,13 +12,12 @@
 import { constants, emptyRegistry } from "@chutewick/parts";
 import { Chance } from "@chutewick/simulator";
 
-/** ms */
-const WINDOW = 5_000;
-const STEP = 10;
-/** A message takes as long either way, so that the clock that it tells was read in the middle of a round trip. */
-const TRANSIT = STEP;
-/** ms since the start of 1970 when virtual time stands at 0: the start of a window. */
-const STARTED_AT = 1_790_000_000_000;
+const WINDOW_MS = 5_000;
+const STEP_MS = 10;
+/** Message delay, equal in both directions, so that the clock in a reply was read in the middle of the round trip. */
+const TRANSIT_MS = STEP_MS;
+/** Unix time at virtual time 0, which is the start of a window. */
+const STARTED_AT_MS = 1_790_000_000_000;
 const STARTS_PER_STEP = 0.4;
 
 interface Node {
@@ -27,7 +26,7 @@
   readonly usage: AccessUsage;
   wallStep: number;
   isDead: boolean;
-  /** Starts counted here: when, in which window by true time, for whom. */
+  /** Starts counted at this node, with the window by true time. */
   readonly starts: Start[];
 }
 
@@ -46,7 +45,7 @@
 
 type Message = LeaseMessage | RegistryMessage | UsageMessage | UsageTakenMessage;
 
-interface OnTheWay {
+interface MessageInTransit {
   readonly at: number;
   readonly from: string;
   readonly to: string;
@@ -66,31 +65,32 @@
   now: number;
   nodes: Node[];
   controls: Control[];
-  messages: OnTheWay[];
-  doubles: boolean;
-  lateMost: number;
+  messages: MessageInTransit[];
+  areDuplicated: boolean;
+  maxDelayMs: number;
   losses: number;
   steps: Steps | undefined;
-  /** ms. When counts were told last, and the most counts of one message. */
-  toldAt: number;
-  countsMost: number;
+  /** Virtual time (ms) at which counts were last sent. */
+  countsSentAt: number;
+  /** Largest number of counts in one message. */
+  maxCountsPerMessage: number;
 }
 
 function newControl(address: string, life: string): ControlUsage {
-  return new ControlUsage({ identity: address, address }, life, WINDOW);
+  return new ControlUsage({ identity: address, address }, life, WINDOW_MS);
 }
 
 function begin(this: World, nodes: number, controls: number, seconds: number): void {
-  equal(seconds * 1_000, WINDOW);
+  equal(seconds * 1_000, WINDOW_MS);
   this.chance = new Chance(7);
   this.now = 0;
   this.messages = [];
-  this.doubles = false;
-  this.lateMost = TRANSIT;
+  this.areDuplicated = false;
+  this.maxDelayMs = TRANSIT_MS;
   this.losses = 0;
   this.steps = undefined;
-  this.toldAt = Number.NEGATIVE_INFINITY;
-  this.countsMost = 0;
+  this.countsSentAt = Number.NEGATIVE_INFINITY;
+  this.maxCountsPerMessage = 0;
   this.nodes = [];
   this.controls = [];
   for (let index = 0; index < nodes; index += 1) {
@@ -98,7 +98,7 @@
     this.nodes.push({
       address: `node-${index + 1}`,
       life,
-      usage: new AccessUsage(life, WINDOW),
+      usage: new AccessUsage(life, WINDOW_MS),
       wallStep: 0,
       isDead: false,
       starts: [],
@@ -118,25 +118,25 @@
 Given("{int} access nodes and {int} control machines, with windows of {int} s", begin);
 
 function send(world: World, from: string, to: string, message: Message): void {
-  if (message.kind === "usage") tellSeen(world, message);
+  if (message.kind === "usage") observeCounts(world, message);
   const isCounts = message.kind === "usage" || message.kind === "usage-taken";
   if (isCounts && world.chance.next() < world.losses) return;
-  const late = isCounts ? world.lateMost : TRANSIT;
-  const copies = isCounts && world.doubles ? 2 : 1;
+  const late = isCounts ? world.maxDelayMs : TRANSIT_MS;
+  const copies = isCounts && world.areDuplicated ? 2 : 1;
   for (let copy = 0; copy < copies; copy += 1)
     world.messages.push({
-      at: world.now + TRANSIT + world.chance.next() * (late - TRANSIT),
+      at: world.now + TRANSIT_MS + world.chance.next() * (late - TRANSIT_MS),
       from,
       to,
       message: structuredClone(message),
     });
 }
 
-function tellSeen(world: World, message: UsageMessage): void {
-  world.toldAt = world.now;
+function observeCounts(world: World, message: UsageMessage): void {
+  world.countsSentAt = world.now;
   let counts = 0;
   for (const window of message.windows) counts += window.counts.length;
-  world.countsMost = Math.max(world.countsMost, counts);
+  world.maxCountsPerMessage = Math.max(world.maxCountsPerMessage, counts);
 }
 
 function deliver(world: World): void {
@@ -174,7 +174,7 @@
     if (output.kind === "send") send(world, address, output.to, output.message as Message);
 }
 
-/** Answers to heartbeats, and heartbeats among control machines. */
+/** Sends the replies to heartbeats and the heartbeats between control machines. */
 function heartbeats(world: World): void {
   for (const control of world.controls) {
     const stamp = { life: control.life, at: world.now };
@@ -184,7 +184,7 @@
         kind: "lease",
         identity: control.address,
         view: { mark: 1, members: [] },
-        askedAt: world.now - TRANSIT,
+        askedAt: world.now - TRANSIT_MS,
         place: 1,
         roll: emptyRegistry,
         controls: [],
@@ -198,7 +198,7 @@
 }
 
 function beat(world: World, areHeartbeatsSent: boolean): void {
-  const wall = STARTED_AT + world.now;
+  const wall = STARTED_AT_MS + world.now;
   for (const { usage, wallStep } of world.controls) {
     usage.beat(world.now, wall + wallStep);
     usage.ledger.forget(world.now);
@@ -226,14 +226,14 @@
   const window = node.usage.counter.windowAt(world.now);
   ok(window !== undefined);
   node.usage.counter.began(tenant, window);
-  const truly = Math.floor((STARTED_AT + world.now) / WINDOW);
+  const truly = Math.floor((STARTED_AT_MS + world.now) / WINDOW_MS);
   node.starts.push({ at: world.now, window: truly, tenant });
 }
 
 function pass(world: World, seconds: number, tenants: number): void {
   const end = world.now + seconds * 1_000;
   while (world.now < end) {
-    world.now += STEP;
+    world.now += STEP_MS;
     stepClocks(world);
     deliver(world);
     for (const node of world.nodes)
@@ -249,24 +249,24 @@
 function run(this: World, tenants: number, seconds: number): void {
   pass(this, seconds, tenants);
 }
-When("requests of {int} tenants begin to run for {int} s", run);
+When("requests of {int} tenants start for {int} s", run);
 
 function rest(this: World, seconds: number): void {
   pass(this, seconds, 0);
 }
-When("nothing begins for {int} s", rest);
+When("no request starts for {int} s", rest);
 
 function oneOfEach(this: World, tenants: number, node: number): void {
   for (let tenant = 0; tenant < tenants; tenant += 1)
     start(this, this.nodes[node - 1]!, `tenant-${tenant}`);
 }
-When("one request of each of {int} tenants begins to run at node {int}", oneOfEach);
+When("one request of each of {int} tenants starts at node {int}", oneOfEach);
 
-function doubledAndLate(this: World, seconds: number): void {
-  this.doubles = true;
-  this.lateMost = seconds * 1_000;
+function duplicatedAndDelayed(this: World, seconds: number): void {
+  this.areDuplicated = true;
+  this.maxDelayMs = seconds * 1_000;
 }
-Given("messages are doubled, and up to {int} s late", doubledAndLate);
+Given("messages are duplicated, and up to {int} s late", duplicatedAndDelayed);
 
 function lost(this: World): void {
   this.losses = 0.5;
@@ -296,14 +296,14 @@
   const control = this.controls[number - 1]!;
   control.life = "second";
   control.usage = newControl(control.address, control.life);
-  /** What it had sent may still come. */
+  // Messages that it sent before may still arrive.
   this.messages = this.messages.filter(({ to }) => to !== control.address);
 }
 When("control machine {int} restarts", restarts);
 
 type Counts = Map<string, number>;
 
-/** Counts of starts by window and tenant. */
+/** Counts the starts by window and tenant. */
 function tally(starts: readonly Start[]): Map<number, Counts> {
   const windows = new Map<number, Counts>();
   for (const { window, tenant } of starts) {
@@ -324,23 +324,26 @@
 }
 
 function holdsAll(this: World, error: number): void {
-  /** The last of them is told. */
+  // Lets the last counts arrive.
   pass(this, 4, 0);
   const truth = tally(allStarts(this));
   for (const { usage } of this.controls) {
     let held = 0;
     for (const [window, counts] of truth) {
-      const told = usage.ledger.countsOf(window);
-      held += sum(told);
+      const reported = usage.ledger.countsOf(window);
+      held += sum(reported);
       for (const [tenant, count] of counts) {
-        const apart = Math.abs((told.get(tenant) ?? 0) - count);
-        ok(apart <= Math.max(1, error * count), `${tenant} in ${window}: ${apart} of ${count}`);
+        const difference = Math.abs((reported.get(tenant) ?? 0) - count);
+        ok(
+          difference <= Math.max(1, error * count),
+          `${tenant} in ${window}: ${difference} of ${count}`,
+        );
       }
     }
     equal(held, allStarts(this).length);
   }
 }
-Then("each control machine holds all counts, none further than {float} from the truth", holdsAll);
+Then("each control machine has all counts, none further than {float} from the truth", holdsAll);
 
 function lacksLast(this: World, seconds: number): void {
   const killedAt = this.now;
@@ -352,23 +355,23 @@
     let held = 0;
     for (const window of tally(allStarts(this)).keys()) held += sum(usage.ledger.countsOf(window));
     const lacking = allStarts(this).length - held;
-    ok(lacking <= last, `${lacking} are lacking, ${last} began in the last ${seconds} s`);
+    ok(lacking <= last, `${lacking} are lacking, ${last} started in the last ${seconds} s`);
   }
 }
-Then(
-  "each control machine lacks only what began to run there within the last {float} s",
-  lacksLast,
-);
+Then("each control machine lacks only what started there within the last {float} s", lacksLast);
 
-function noneTold(this: World, seconds: number): void {
-  ok(this.toldAt <= this.now - seconds * 1_000, `told ${this.now - this.toldAt} ms ago`);
+function noneSent(this: World, seconds: number): void {
+  ok(
+    this.countsSentAt <= this.now - seconds * 1_000,
+    `sent ${this.now - this.countsSentAt} ms ago`,
+  );
 }
-Then("no counts were told in the last {int} s", noneTold);
+Then("no counts were sent in the last {int} s", noneSent);
 
-function piecesOf(this: World, most: number): void {
-  ok(this.countsMost <= most, `${this.countsMost} in one message`);
+function messagesOf(this: World, most: number): void {
+  ok(this.maxCountsPerMessage <= most, `${this.maxCountsPerMessage} in one message`);
 }
-Then("no message held more than {int} counts", piecesOf);
+Then("no message contained more than {int} counts", messagesOf);
 
 function noneHeld(this: World): void {
   for (const { usage } of this.controls) {
@@ -381,4 +384,4 @@
   }
   for (const { usage } of this.nodes) deepEqual(usage.counter.changedSince(0).windows, []);
 }
-Then("no machine holds counts of any window", noneHeld);
+Then("no machine has counts of any window", noneHeld);
--- a/features/steps/warm-up.ts
+++ b/features/steps/warm-up.ts
@@ -1,20 +1,20 @@
-/** Steps of warm-up.feature: warm-ups of the platform's path in a process of their own, so that its code is cold. */
+/** Steps of warm-up.feature: each warm-up of the platform's request path runs in its own process, so that its code is cold. */
 import { equal, ok } from "node:assert/strict";
 import { spawnSync } from "node:child_process";
 import type { WarmUpResult } from "@chutewick/data";
 import { Given, Then, When } from "@cucumber/cucumber";
 
 interface World {
-  /** Makes the sample that the warm-up plays with. */
+  /** Code that creates the sample of the warm-up. */
   sample: string;
   result: WarmUpResult;
-  /** Servers that listen after the warm-up. */
+  /** Number of servers that still listen after the warm-up. */
   listening: number;
 }
 
 const PATH_SAMPLE = "new PlatformWarmUpSample(log)";
 
-/** A sample whose runners break off instead of answering. */
+/** A sample whose runners fail instead of responding. */
 const MUTE_SAMPLE = `Object.assign(${PATH_SAMPLE}, { answerHeaders() { throw new Error("no answer"); } })`;
 
 function programOf(sample: string, calls: number): string {
@@ -33,40 +33,40 @@
   `;
 }
 
-function play(world: World, calls: number): void {
+function runWarmUp(world: World, calls: number): void {
   const parameters = ["--input-type=module", "--eval", programOf(world.sample, calls)];
-  const done = spawnSync(process.execPath, parameters, { cwd: "features", encoding: "utf8" });
-  equal(done.status, 0, done.stderr);
-  const told = JSON.parse(done.stdout) as { result: WarmUpResult; listening: number };
-  world.result = told.result;
-  world.listening = told.listening;
+  const child = spawnSync(process.execPath, parameters, { cwd: "features", encoding: "utf8" });
+  equal(child.status, 0, child.stderr);
+  const output = JSON.parse(child.stdout) as { result: WarmUpResult; listening: number };
+  world.result = output.result;
+  world.listening = output.listening;
 }
 
 Given("a warm-up of the platform's path", function (this: World) {
   this.sample = PATH_SAMPLE;
 });
 
-Given("a warm-up of the platform's path whose runners answer nothing", function (this: World) {
+Given("a warm-up of the platform's path whose runners do not respond", function (this: World) {
   this.sample = MUTE_SAMPLE;
 });
 
-When("it runs as long as nobody comes", { timeout: 60_000 }, function (this: World) {
-  play(this, Number.MAX_SAFE_INTEGER);
+When("it runs until it has made all of its calls", { timeout: 60_000 }, function (this: World) {
+  runWarmUp(this, Number.MAX_SAFE_INTEGER);
 });
 
 When(
-  "a caller comes after {int} of its calls",
+  "a caller connects after {int} of its calls",
   { timeout: 30_000 },
   function (this: World, calls: number) {
-    play(this, calls);
+    runWarmUp(this, calls);
   },
 );
 
 When("it runs for {int} call", { timeout: 30_000 }, function (this: World, calls: number) {
-  play(this, calls);
+  runWarmUp(this, calls);
 });
 
-Then("all of its calls are answered whole", function (this: World) {
+Then("all of its calls get a complete response", function (this: World) {
   ok(this.result.calls > 0);
   equal(this.result.answered, this.result.calls);
 });
@@ -76,7 +76,7 @@
   ok(last < first / 3, `${last} ms after ${first} ms`);
 });
 
-Then("nothing listens that listened for it", function (this: World) {
+Then("no server of the warm-up is still listening", function (this: World) {
   equal(this.listening, 0);
 });
 
@@ -84,7 +84,10 @@
   equal(this.result.calls, calls);
 });
 
-Then("it has made {int} call, and none was answered whole", function (this: World, calls: number) {
-  equal(this.result.calls, calls);
-  equal(this.result.answered, 0);
-});
+Then(
+  "it has made {int} call, and none got a complete response",
+  function (this: World, calls: number) {
+    equal(this.result.calls, calls);
+    equal(this.result.answered, 0);
+  },
+);
--- a/features/usage-starts.feature
+++ b/features/usage-starts.feature
@@ -1,4 +1,4 @@
-Feature: A request counts for its tenant in the window in which a runner began to work on it
+Feature: A request counts for its tenant in the window in which a runner started it
 
   Rule: What counts, and when (virtual time)
 
@@ -21,8 +21,8 @@
         | south | s-1         |      |
       And starts are counted in windows of 1 s, of which window 1000 begins now
 
-    # Guards against a report that is off at the borders of windows: a request belongs where it began, not where it ended.
-    Scenario: A request that went out in one window and is answered in the next counts in the first
+    # Guards against wrong reports at window boundaries: a request counts in the window in which it started, not in which it ended.
+    Scenario: A request sent in one window and answered in the next counts in the first
       When 900 ms pass
       And "q1" arrives at "/pay/x" with the credential "n-1"
       Then the go of "q1" may start
@@ -43,8 +43,8 @@
       Then 0 requests of "north" are counted in window 1000
       And 1 request of "north" is counted in window 1001
 
-    # Guards against a try counted twice because it went on at another runner.
-    Scenario: A stream that goes on at another runner counts once
+    # Guards against counting a stream twice when it is resumed at another runner.
+    Scenario: A stream that is resumed at another runner counts once
       When "q1" arrives at "/long/x" with the credential "n-1"
       And the runner of "q1" streams events 1 to 3
       And the go of "q1" breaks
@@ -53,27 +53,27 @@
       Then 1 request of "north" is counted in window 1000
       And 0 requests of "north" are counted in window 1001
 
-    Scenario: A stream that breaks before its first event did not begin, as far as can be seen
+    Scenario: A stream that breaks before its first event is not counted
       When "q1" arrives at "/long/x" with the credential "n-1"
       And the runner of "q1" streams no events
       And the go of "q1" breaks
       Then 0 requests of "north" are counted in window 1000
 
-    Scenario: What a runner refused did not begin there, and counts where another one began
+    Scenario: A request that a runner refused counts once another runner starts it
       When "q1" arrives at "/fetch/x" with the credential "n-1"
       And the go of "q1" is refused with a wait of 0.5 s
       Then 0 requests of "north" are counted in window 1000
       When the runner of "q1" answers 200 with "bytes"
       Then 1 request of "north" is counted in window 1000
 
-    Scenario: What breaks off in the middle of its result had begun
+    Scenario: A request that breaks in the middle of its result is counted
       When "q1" arrives at "/pay/x" with the credential "s-1"
       And the go of "q1" gets a head and "half"
       And the go of "q1" breaks
       Then 1 request of "south" is counted in window 1000
 
-    # Guards against a tenant charged by the name of a credential: those that are added or taken away change nothing.
-    Scenario: Requests count for the tenant, whichever credential they came with, and also after it was taken away
+    # Guards against charging by credential instead of tenant: adding or removing a credential must not change the counts.
+    Scenario: Requests count for the tenant, whichever credential they used, even after that credential was removed
       When "q1" arrives at "/fetch/x" with the credential "n-1"
       And "q2" arrives at "/fetch/x" with the credential "n-2"
       And the tenants
@@ -84,7 +84,7 @@
       And the runner of "q2" answers 200 with "bytes"
       Then 2 requests of "north" are counted in window 1000
 
-    Scenario: Requests without a tenant don't count
+    Scenario: Requests without a tenant are not counted
       When "q1" arrives at "/open/x" with the credential ""
       And the runner of "q1" answers 200 with "bytes"
       Then no request is counted
--- a/features/warm-up.feature
+++ b/features/warm-up.feature
@@ -1,21 +1,21 @@
 @sockets
-Feature: an access process plays its own path before callers come
-  The first requests of a process would pay for compiling the code that serves them (docs/design.md §13.9).
+Feature: an access process warms up its request path before callers connect
+  Without a warm-up, the first requests of a process wait for the code that serves them to be compiled (docs/design.md §13.9).
 
   Scenario: a warm-up makes later calls cheaper and leaves nothing behind
     Given a warm-up of the platform's path
-    When it runs as long as nobody comes
-    Then all of its calls are answered whole
+    When it runs until it has made all of its calls
+    Then all of its calls get a complete response
     And the last call took less than a third of the first
-    And nothing listens that listened for it
+    And no server of the warm-up is still listening
 
-  Scenario: the first real caller ends it
+  Scenario: the first real caller ends the warm-up
     Given a warm-up of the platform's path
-    When a caller comes after 5 of its calls
+    When a caller connects after 5 of its calls
     Then it has made 5 calls
-    And nothing listens that listened for it
+    And no server of the warm-up is still listening
 
-  Scenario: a call that gets no answer is given up
-    Given a warm-up of the platform's path whose runners answer nothing
+  Scenario: a call that gets no response is aborted
+    Given a warm-up of the platform's path whose runners do not respond
     When it runs for 1 call
-    Then it has made 1 call, and none was answered whole
+    Then it has made 1 call, and none got a complete response
