--- a/features/steps/usage-fleet.ts
+++ b/features/steps/usage-fleet.ts
@@ -1,31 +1,29 @@
-/** Steps on usage in a deployment of the product's cores, in virtual time (docs/design.md §14). */
+/** Steps of usage.feature on a simulated deployment of the product's cores, in virtual time (docs/design.md §14). */
 import { equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { Deployment, smallBounds } from "@chutewick/simulator";
 
-/** s */
-const FORMED_AFTER = 6;
-const TOLD_AFTER = 1;
-const QUIET_FOR = 3;
+const FORMATION_S = 6;
+const REPORT_DELAY_S = 1;
+const SETTLE_S = 3;
 
 interface World {
   deployment: Deployment;
-  /** ms */
-  length: number;
-  /** Windows in which requests began. */
+  windowMs: number;
+  /** Windows in which requests started. */
   windows: Set<number>;
 }
 
 function begin(this: World, controls: number, accesses: number, seconds: number): void {
-  this.length = seconds * 1_000;
+  this.windowMs = seconds * 1_000;
   this.windows = new Set();
-  const bounds = { ...smallBounds, usageWindow: this.length };
+  const bounds = { ...smallBounds, usageWindow: this.windowMs };
   this.deployment = new Deployment(5, { controls, storages: 3, accesses, losses: 1, bounds });
   for (const machine of this.deployment.machines) machine.start();
-  this.deployment.after(FORMED_AFTER);
+  this.deployment.after(FORMATION_S);
 }
 Given(
-  "a deployment of {int} control machines and {int} access nodes, with windows of usage of {int} s",
+  "a deployment of {int} control machines and {int} access nodes, with usage windows of {int} s",
   { timeout: 60_000 },
   begin,
 );
@@ -33,7 +31,7 @@
 function stepped(this: World, seconds: number): void {
   this.deployment.controls[0]!.wallStep = seconds * 1_000;
   this.deployment.accesses[0]!.wallStep = seconds * 1_000;
-  this.deployment.after(QUIET_FOR);
+  this.deployment.after(SETTLE_S);
 }
 When("the clocks of one control machine and one access node are stepped by {int} s", stepped);
 
@@ -48,9 +46,9 @@
       this.windows.add(window);
     }
   }
-  deployment.after(TOLD_AFTER);
+  deployment.after(REPORT_DELAY_S);
 }
-When("{int} requests of {string} begin to run at each access node within {int} s", beginToRun);
+When("{int} requests of {string} start at each access node within {int} s", beginToRun);
 
 function holds(this: World, count: number, tenant: string): void {
   for (const { core } of this.deployment.controls) {
@@ -59,7 +57,7 @@
     equal(held, count);
   }
 }
-Then("each control machine holds {int} requests of {string}", holds);
+Then("each control machine has counted {int} requests of {string}", holds);
 
 function nearTrueTime(this: World, most: number): void {
   const { world, controls, accesses } = this.deployment;
@@ -71,11 +69,11 @@
 }
 Then("each process is within {int} ms of true time", nearTrueTime);
 
-function nothingMore(this: World): void {
-  const told = this.deployment.accesses.map(({ core }) => core.usage.counts.usageTold);
-  this.deployment.after(QUIET_FOR);
+function noMoreCounts(this: World): void {
+  const sent = this.deployment.accesses.map(({ core }) => core.usage.counts.usageTold);
+  this.deployment.after(SETTLE_S);
   this.deployment.accesses.forEach(({ core }, index) => {
-    equal(core.usage.counts.usageTold, told[index]);
+    equal(core.usage.counts.usageTold, sent[index]);
   });
 }
-Then("the access nodes have nothing more to tell", nothingMore);
+Then("the access nodes send no more counts", noMoreCounts);
--- a/features/tenants.feature
+++ b/features/tenants.feature
@@ -1,6 +1,6 @@
 Feature: Requests run for the tenant that holds the caller's credential, and for nobody else
-  Guards against issue 33: every request of a deployment with tenants ran without its tenant and with the credential passed on,
-  and requests with credentials that nobody holds were run (docs/incidents/requests-without-tenant.md, docs/design.md §13.10).
+  Guards against issue 33: in a deployment with tenants, every request ran without its tenant and forwarded its credential,
+  and requests with unknown credentials were run (docs/incidents/requests-without-tenant.md, docs/design.md §13.10).
 
   Rule: Who is served (virtual time)
 
@@ -32,12 +32,12 @@
         | missing    |      |
         | inherited  | constructor |
 
-    Scenario: What is not there is not found, whatever the credential
+    Scenario: An unknown path is answered with 404, whatever the credential
       When "q1" arrives at "/nowhere/x" with the credential ""
       Then the caller of "q1" gets "refused 404"
       And 0 requests were counted as unauthorized
 
-    Scenario: A node without a lease may lack a credential that was added, so it refuses none for good
+    Scenario: A node without a lease may not know a new credential yet, so it refuses unknown ones only temporarily
       Given the node serves without a lease
       When "q1" arrives at "/fetch/x" with the credential "x-1"
       Then the caller of "q1" gets "refused 503 after 0.35"
@@ -45,20 +45,20 @@
       When "q2" arrives at "/fetch/x" with the credential "n-1"
       Then "q2" runs for the tenant "north"
 
-    Scenario: Each credential of a tenant names it, and its rank goes before the passage's
+    Scenario: Each credential identifies its tenant, whose rank overrides that of the passage
       When "q1" arrives at "/fetch/x" with the credential "n-2"
       Then "q1" runs for the tenant "north" with rank 1
       When "q2" arrives at "/fetch/x" with the credential "s-1"
       Then "q2" runs for the tenant "south" with rank 3
 
-    Scenario: A tenant's rank is never that of items
+    Scenario: A tenant's rank cannot reach the rank of lot items
       Given the tenants
         | name  | credentials | rank |
         | north | n-1         | 7    |
       When "q1" arrives at "/fetch/x" with the credential "n-1"
       Then "q1" runs for the tenant "north" with rank 4
 
-    Scenario: A keyless passage serves everybody, and a known credential still names its tenant
+    Scenario: A keyless passage serves every caller, and a known credential still identifies its tenant
       When "q1" arrives at "/open/x" with the credential ""
       Then "q1" runs for no tenant
       When "q2" arrives at "/open/x" with the credential "x-1"
@@ -66,7 +66,7 @@
       When "q3" arrives at "/open/x" with the credential "s-1"
       Then "q3" runs for the tenant "south"
 
-    Scenario: A configuration that names nobody serves keyless passages alone
+    Scenario: A configuration with no tenants in its list serves only keyless passages
       Given the tenants
         | name | credentials | rank |
       When "q1" arrives at "/fetch/x" with the credential "n-1"
@@ -79,7 +79,7 @@
       When "q1" arrives at "/fetch/x" with the credential "x-1"
       Then "q1" runs as it came
 
-    Scenario: Credentials are added, taken away and passed on by versions
+    Scenario: Configuration versions add and remove credentials and move them between tenants
       Given the tenants
         | name  | credentials | rank |
         | north | n-2         | 1    |
@@ -95,7 +95,7 @@
       When "q3" arrives at "/fetch/x" with the credential "n-2"
       Then the caller of "q3" gets "refused 401"
 
-    Scenario: What is under way goes on when its credential is taken away
+    Scenario: Requests in progress continue when their credential is removed
       When "q1" arrives at "/fetch/x" with the credential "n-1"
       Given the tenants
         | name  | credentials | rank |
@@ -188,7 +188,7 @@
         | kill-access, cut-access                    | 221   | 224  |
         | power                                      | 231   | 232  |
 
-    Scenario: A node without a lease may lack a credential that was added, so it refuses none for good
+    Scenario: A node without a lease may not know a new credential yet, so it refuses unknown ones only temporarily
       Given a node that holds a lease in a fleet with tenants
       When lots are handed in, read, looked into and ended there without a credential
       Then each of these callers is told "unauthorized"
--- a/features/usage.feature
+++ b/features/usage.feature
@@ -86,9 +86,9 @@
 
     # Guards against a core that drops a clock, a count or an acknowledgement, so that nothing is reported.
     Scenario: Counts of access nodes reach every control machine, by a time that a stepped clock does not move
-      Given a deployment of 3 control machines and 2 access nodes, with windows of usage of 1 s
+      Given a deployment of 3 control machines and 2 access nodes, with usage windows of 1 s
       When the clocks of one control machine and one access node are stepped by 30 s
-      And 20 requests of "north" begin to run at each access node within 2 s
-      Then each control machine holds 40 requests of "north"
+      And 20 requests of "north" start at each access node within 2 s
+      Then each control machine has counted 40 requests of "north"
       And each process is within 20 ms of true time
-      And the access nodes have nothing more to tell
+      And the access nodes send no more counts
