--- a/packages/shell/src/beat.ts
+++ b/packages/shell/src/beat.ts
@@ -1,76 +1,80 @@
+/** Periodic ticks of a process, and its monotonic clock (docs/design.md §10.5). */
 import { constants } from "@chutewick/parts";
 import { metrics } from "./metrics.js";
 
-/** How often a process that may rest between beats is given one: usually, and while nothing is under way in it. */
-export interface BeatPace {
-  /** Whether nothing that has a deadline is under way. */
+/** Tells whether a process is idle, so that it needs ticks less often. */
+export interface ActivityMonitor {
+  /** Whether nothing with a deadline is in progress. */
   readonly isIdle: () => boolean;
 }
 
-const alwaysBusy: BeatPace = { isIdle: () => false };
+const alwaysBusy: ActivityMonitor = { isIdle: () => false };
 
-/** The beat of a process: monotonic time for cores, wall time for seasons alone (docs/design.md §10.5). */
+/** Calls a process at a regular interval with the monotonic time; the interval is longer while the process is idle. */
 export class Beat {
-  readonly #pace: BeatPace;
-  #strike: (now: number) => void = nothing;
+  readonly #activity: ActivityMonitor;
+  #onTick: (now: number) => void = nothing;
   #handle: NodeJS.Timeout | undefined;
-  #isResting = false;
-  /** ms, monotonic. */
-  #due = 0;
+  #isSlowInterval = false;
+  /** Monotonic time in ms at which the next tick is due. */
+  #dueAt = 0;
 
-  /** Without a pace each beat comes after the usual time. */
-  constructor(pace: BeatPace = alwaysBusy) {
-    this.#pace = pace;
+  /** Without a monitor the process counts as busy, and every tick comes after the normal interval. */
+  constructor(activity: ActivityMonitor = alwaysBusy) {
+    this.#activity = activity;
   }
 
-  start(strike: (now: number) => void): void {
-    this.#strike = strike;
+  /** Starts the ticks; `onTick` is called with the monotonic time in ms. */
+  start(onTick: (now: number) => void): void {
+    this.#onTick = onTick;
     this.#schedule(constants.beatEvery);
   }
 
+  /** Stops the ticks. */
   stop(): void {
     clearTimeout(this.#handle);
   }
 
-  /** Something may have begun: if so, the next beat comes after the usual time from now at the latest. */
+  /** Must be called when work may have started: if the process is no longer idle, the next tick comes within the normal interval. */
   hasten(): void {
-    if (this.#isResting && !this.#pace.isIdle()) this.#schedule(constants.beatEvery);
+    if (this.#isSlowInterval && !this.#activity.isIdle()) this.#schedule(constants.beatEvery);
   }
 
   #schedule(after: number): void {
     clearTimeout(this.#handle);
-    this.#isResting = after > constants.beatEvery;
-    this.#due = performance.now() + after;
-    const beat = (): void => this.#beat();
-    this.#handle = setTimeout(beat, after);
+    this.#isSlowInterval = after > constants.beatEvery;
+    this.#dueAt = performance.now() + after;
+    const tick = (): void => this.#tick();
+    this.#handle = setTimeout(tick, after);
   }
 
-  #beat(): void {
+  #tick(): void {
     const now = performance.now();
-    metrics.beatCame(now - this.#due);
-    /** First, since the beat may stop it. */
-    this.#schedule(this.#pace.isIdle() ? constants.idleBeatEvery : constants.beatEvery);
-    this.#strike(now);
+    metrics.tickStarted(now - this.#dueAt);
+    // Scheduled before the call, because the call may stop the ticks.
+    this.#schedule(this.#activity.isIdle() ? constants.idleBeatEvery : constants.beatEvery);
+    this.#onTick(now);
   }
 }
 
 function nothing(): void {
-  // Until it is started.
+  // Placeholder until the ticks are started.
 }
 
+/** Monotonic time in ms. */
 export function monotonic(): number {
   return performance.now();
 }
 
-/** Looks with each beat until something holds. */
+/** Resolves once a condition holds; checks it at every tick interval. */
 export function settled(holds: () => boolean): Promise<void> {
   function begin(resolve: () => void): void {
-    function look(): void {
+    function check(): void {
       if (!holds()) return;
       clearInterval(handle);
       resolve();
     }
-    const handle = setInterval(look, constants.beatEvery);
+    const handle = setInterval(check, constants.beatEvery);
   }
   return new Promise<void>(begin);
 }
--- a/packages/shell/src/caller-connections.ts
+++ b/packages/shell/src/caller-connections.ts
@@ -1,88 +1,89 @@
+/** Open connections of an HTTP server and the order of their responses. */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Duplex } from "node:stream";
 
-/** One request on a caller's connection, until its response has been closed. */
+/** One request on a caller's connection, until its response is closed. */
 interface Exchange {
   readonly incoming: IncomingMessage;
   readonly response: ServerResponse;
 }
 
 /** A request that has no response yet. */
-export interface Unanswered {
+export interface UnansweredRequest {
   readonly response: ServerResponse;
-  /** Whether it was read to its end. */
+  /** Whether the request was read to its end. */
   readonly isWhole: boolean;
 }
 
-/** How a connection stands at which a request could not be read to its end. */
-export type Unread =
-  /** The request has a response of its own, to be written in its turn. */
+/** What may be written on a connection on which a request could not be read to its end. */
+export type UnreadRequestResult =
+  /** The request has a response of its own, which is written in its turn. */
   | { readonly kind: "own-response"; readonly response: ServerResponse }
-  /** No request is under way: the refusal may be written at once. */
+  /** No request is in progress: the refusal may be written at once. */
   | { readonly kind: "none-under-way" }
-  /** Earlier requests are under way, or the request was answered already: nothing may be written for it. */
+  /** Earlier requests are in progress, or the request was already answered: nothing may be written for it. */
   | { readonly kind: "silent" };
 
 /**
- * The connections of one HTTP server, with the requests under way on each in the order of their arrival.
+ * The connections of one HTTP server, with the requests in progress on each in the order of their arrival.
  *
  * HTTP/1.1 matches responses to requests by their order alone. So a refusal for bytes that cannot be read is never
- * written while an earlier response is outstanding on that connection: the caller would take it for the answer to the
- * earlier request, and 408 even for the promise that the earlier request did not run.
+ * written while an earlier response is outstanding on that connection: the caller would take it for the response to the
+ * earlier request, and a 408 would even tell it that the earlier request did not run.
  */
 export class CallerConnections {
   #exchanges = new WeakMap<Duplex, Exchange[]>();
-  #ending = new WeakSet<Duplex>();
-  #open = new Set<Exchange>();
+  #endingSockets = new WeakSet<Duplex>();
+  #openExchanges = new Set<Exchange>();
   #isClosing = false;
 
-  /** Notes every request of the server before anyone else hears of it. */
+  /** Records every request of the server before any other listener handles it. */
   watch(server: Server): void {
     const self = this;
     function arrived(incoming: IncomingMessage, response: ServerResponse): void {
-      self.#arrived(incoming, response);
+      self.#addExchange(incoming, response);
     }
     server.prependListener("request", arrived);
   }
 
-  /** Requests whose responses have not been written whole, those included that are still being read. */
+  /** Number of requests whose responses have not been written completely, including requests that are still being read. */
   get underWay(): number {
-    return this.#open.size;
+    return this.#openExchanges.size;
   }
 
-  /** From now on each connection ends with the response to the last request that was read on it. */
-  endWithResponses(): void {
+  /** From now on each connection is closed after the response to the last request that was read on it. */
+  closeAfterResponses(): void {
     this.#isClosing = true;
-    for (const { incoming, response } of this.#open)
-      if (isLast(this.#exchanges.get(incoming.socket), response)) endWith(response);
+    for (const { incoming, response } of this.#openExchanges)
+      if (isLast(this.#exchanges.get(incoming.socket), response)) closeAfter(response);
   }
 
-  /** Whether a response that ends the connection has begun: nothing that is read after it can be answered. */
-  isOver(socket: Duplex): boolean {
+  /** Whether a response that closes the connection has been started: nothing read after it can be answered. */
+  isClosingAfterResponse(socket: Duplex): boolean {
     const exchanges = this.#exchanges.get(socket) ?? [];
-    return exchanges.some(endsConnection);
+    return exchanges.some(closesConnection);
   }
 
   /** Requests that have no response yet. */
-  *unanswered(): Generator<Unanswered> {
-    for (const { incoming, response } of [...this.#open])
+  *unanswered(): Generator<UnansweredRequest> {
+    for (const { incoming, response } of [...this.#openExchanges])
       if (!response.headersSent && !response.destroyed)
         yield { response, isWhole: incoming.complete };
   }
 
-  /** Requests that were read whole and whose responses are missing, or not yet handed to the network whole. */
-  get wholeUnfinished(): number {
+  /** Number of requests that were read completely and whose responses are missing or not completely written to the network. */
+  get unfinishedCount(): number {
     let count = 0;
-    for (const { incoming, response } of this.#open)
+    for (const { incoming, response } of this.#openExchanges)
       if (incoming.complete && !response.destroyed) count += 1;
     return count;
   }
 
-  /** Ends a connection from which nothing more can be read, and says where the refusal belongs. */
-  endUnread(socket: Duplex): Unread {
+  /** Ends a connection from which nothing more can be read, and returns where the refusal may be written. */
+  endAfterUnreadRequest(socket: Duplex): UnreadRequestResult {
     const exchanges = this.#exchanges.get(socket) ?? [];
-    const isFirst = !this.#ending.has(socket);
-    this.#ending.add(socket);
+    const isFirst = !this.#endingSockets.has(socket);
+    this.#endingSockets.add(socket);
     const last = exchanges.at(-1);
     if (!isFirst) return { kind: "silent" };
     if (last === undefined) return { kind: "none-under-way" };
@@ -95,12 +96,12 @@
     return { kind: "silent" };
   }
 
-  /** Those under way on a connection; with it they end, also the ones whose response still waits for its turn. */
+  /** Requests in progress on a connection. They end when it closes, including those whose response is waiting for its turn. */
   #exchangesOn(socket: Duplex): Exchange[] {
     const known = this.#exchanges.get(socket);
     if (known !== undefined) return known;
     const exchanges: Exchange[] = [];
-    const open = this.#open;
+    const open = this.#openExchanges;
     function closed(): void {
       for (const exchange of exchanges) open.delete(exchange);
     }
@@ -109,33 +110,33 @@
     return exchanges;
   }
 
-  #arrived(incoming: IncomingMessage, response: ServerResponse): void {
+  #addExchange(incoming: IncomingMessage, response: ServerResponse): void {
     const { socket } = incoming;
     const exchanges = this.#exchangesOn(socket);
     const exchange: Exchange = { incoming, response };
-    const ending = this.#ending;
+    const ending = this.#endingSockets;
     if (this.#isClosing) {
       const last = exchanges.at(-1);
       if (last !== undefined && !last.response.headersSent) last.response.shouldKeepAlive = true;
-      endWith(response);
+      closeAfter(response);
     }
     exchanges.push(exchange);
-    const open = this.#open;
+    const open = this.#openExchanges;
     open.add(exchange);
-    function over(): void {
+    function removeOpen(): void {
       open.delete(exchange);
     }
-    response.once("close", over);
-    function settled(): void {
+    response.once("close", removeOpen);
+    function removeIfDone(): void {
       if (!incoming.complete && !socket.destroyed && !ending.has(socket)) return;
       const index = exchanges.indexOf(exchange);
       if (index >= 0) exchanges.splice(index, 1);
       if (exchanges.length === 0 && ending.has(socket)) socket.end();
     }
-    response.once("close", settled);
-    incoming.once("end", readWhole);
-    function readWhole(): void {
-      if (response.closed) settled();
+    response.once("close", removeIfDone);
+    incoming.once("end", requestEnded);
+    function requestEnded(): void {
+      if (response.closed) removeIfDone();
     }
   }
 }
@@ -144,10 +145,10 @@
   return exchanges?.at(-1)?.response === response;
 }
 
-function endWith(response: ServerResponse): void {
+function closeAfter(response: ServerResponse): void {
   if (!response.headersSent) response.shouldKeepAlive = false;
 }
 
-function endsConnection({ response }: Exchange): boolean {
+function closesConnection({ response }: Exchange): boolean {
   return response.headersSent && !response.shouldKeepAlive;
 }
--- a/packages/shell/src/caller-timing.ts
+++ b/packages/shell/src/caller-timing.ts
@@ -1,30 +1,31 @@
+/** Time and size limits of the HTTP connections of callers. */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { CallerLimits } from "@chutewick/parts";
 import { constants } from "@chutewick/parts";
 
-const second = 1_000;
-/** bytes. What the separators of one header line take: a colon, a space and the line end. */
-const separators = 4;
+const msPerSecond = 1_000;
+/** Bytes of the separators in one header line: a colon, a space and the line end. */
+const headerSeparatorBytes = 4;
 
-/** bytes. All header lines as they would be written, from names and values in turn. */
-export function headerBytesOf(rawHeaders: readonly string[]): number {
+/** Size in bytes of all header lines as they would be written, from a list of alternating names and values. */
+export function headerSizeOf(rawHeaders: readonly string[]): number {
   let size = 0;
   for (const text of rawHeaders) size += text.length;
-  return size + (rawHeaders.length / 2) * separators;
+  return size + (rawHeaders.length / 2) * headerSeparatorBytes;
 }
 
 /**
- * ms that the server keeps an idle connection open. The library tells callers the whole seconds of it, so it is the next whole
- * second, which callers are told, and a margin for a request that is on its way when the time ends.
+ * Time in ms for which the server keeps an idle connection open. The library announces its whole seconds to callers, so it is rounded
+ * up to a whole second, plus a margin for a request that is in transit when the announced time ends.
  */
-export function keepAliveOf(idleWait: number): number {
-  return Math.max(1, Math.ceil(idleWait / second)) * second + constants.idleMarginHere;
+export function keepAliveTimeoutMs(idleWait: number): number {
+  return Math.max(1, Math.ceil(idleWait / msPerSecond)) * msPerSecond + constants.idleMarginHere;
 }
 
-/** The library reads this at each connection; its types know it only as an option of the constructor. */
+/** Node.js reads `maxHeaderSize` at each connection, but its types declare it only as an option of the constructor. */
 type TimedServer = Server & { maxHeaderSize?: number };
 
-/** Keeps the timers of an HTTP server at limits that may change while it runs. */
+/** Applies limits that may change at run time to the timers of an HTTP server. */
 export class CallerTiming {
   #server: TimedServer;
   #limits: () => CallerLimits;
@@ -34,7 +35,7 @@
     this.#limits = limits;
   }
 
-  /** Looks at the limits before each connection and each request; what was told to a caller before a change still holds. */
+  /** Applies the limits at each new connection and request. A time that was announced to a caller before a change is still kept. */
   watch(): void {
     const self = this;
     function connected(): void {
@@ -42,7 +43,7 @@
     }
     function arrived(incoming: IncomingMessage, response: ServerResponse): void {
       self.#apply();
-      self.#keepWord(incoming, response);
+      self.#keepAnnouncedTimeout(incoming, response);
     }
     this.#apply();
     this.#server.prependListener("connection", connected);
@@ -54,18 +55,18 @@
     const server = this.#server;
     server.headersTimeout = headerWait;
     server.requestTimeout = headerWait + constants.bodyPatience;
-    server.keepAliveTimeout = keepAliveOf(idleWait);
-    /** The parser takes it per connection, so it holds the largest that may come into force; each request is checked by itself. */
+    server.keepAliveTimeout = keepAliveTimeoutMs(idleWait);
+    // The parser reads this once per connection, so it is the largest limit possible; each request is also checked on its own.
     server.maxHeaderSize =
       Math.max(headerBytes, constants.passHeadersMost) + constants.requestLineMost;
   }
 
-  /** The time told in `Keep-Alive` is that of the request's arrival: a shorter one that came since begins with the next response. */
-  #keepWord({ socket }: IncomingMessage, response: ServerResponse): void {
-    const told = this.#server.keepAliveTimeout;
+  /** `Keep-Alive` announces the timeout at the request's arrival; a shorter timeout set since then applies from the next response on. */
+  #keepAnnouncedTimeout({ socket }: IncomingMessage, response: ServerResponse): void {
+    const announcedMs = this.#server.keepAliveTimeout;
     function finished(): void {
       const { timeout = 0 } = socket;
-      if (timeout > 0 && timeout < told) socket.setTimeout(told);
+      if (timeout > 0 && timeout < announcedMs) socket.setTimeout(announcedMs);
     }
     response.once("finish", finished);
   }
--- a/packages/shell/src/connection-progress.ts
+++ b/packages/shell/src/connection-progress.ts
@@ -1,18 +1,18 @@
-/** Finds out, without I/O or a clock, that a connection to another process has stalled (docs/design.md §10.3). */
+/** Detects, without I/O or a clock, that a connection to another process has stalled (docs/design.md §10.3). */
 import { constants } from "@chutewick/parts";
 
 /**
- * Progress of one outgoing connection. The other side acknowledges on the same connection how many bytes it has received, so
- * an acknowledgement shows that bytes pass in both directions, however slowly.
+ * Progress of one outgoing connection. The other side acknowledges how many bytes it has received, so an acknowledgement shows
+ * that bytes pass in both directions, however slowly.
  */
 export class ConnectionProgress {
   readonly #expectsAnswer: boolean;
   #hasAnswered = false;
-  #acknowledged = 0;
-  /** ms in which this process ran and bytes waited for an acknowledgement, since the last one that told of more. */
-  #silentFor = 0;
+  #acknowledgedBytes = 0;
+  /** Time in ms in which this process was running with unacknowledged bytes, since the acknowledged count last increased. */
+  #unacknowledgedMs = 0;
 
-  /** expectsAnswer: the other side is known to acknowledge; earlier releases do not. */
+  /** `expectsAnswer`: the other side is known to send acknowledgements; earlier releases do not. */
   constructor(expectsAnswer: boolean) {
     this.#expectsAnswer = expectsAnswer;
   }
@@ -24,21 +24,21 @@
 
   /** Whether the connection has stalled and should be replaced. */
   get hasExpired(): boolean {
-    return this.#silentFor >= constants.acknowledgementPatience;
+    return this.#unacknowledgedMs >= constants.acknowledgementPatience;
   }
 
-  /** The other side has received so many bytes since the connection was opened. */
+  /** Records that the other side has received so many bytes since the connection was opened. */
   acknowledged(bytes: number): void {
     this.#hasAnswered = true;
-    if (bytes <= this.#acknowledged) return;
-    this.#acknowledged = bytes;
-    this.#silentFor = 0;
+    if (bytes <= this.#acknowledgedBytes) return;
+    this.#acknowledgedBytes = bytes;
+    this.#unacknowledgedMs = 0;
   }
 
-  /** Some ms have passed in which this process ran; so many bytes were written since the connection was opened. */
+  /** Records that this process was running for some time; `writtenBytes` counts from the opening of the connection. */
   elapse(milliseconds: number, writtenBytes: number): void {
     const isAwaited = this.#hasAnswered || this.#expectsAnswer;
-    if (isAwaited && writtenBytes > this.#acknowledged) this.#silentFor += milliseconds;
-    else this.#silentFor = 0;
+    if (isAwaited && writtenBytes > this.#acknowledgedBytes) this.#unacknowledgedMs += milliseconds;
+    else this.#unacknowledgedMs = 0;
   }
 }
--- a/packages/shell/src/daemon-parts.ts
+++ b/packages/shell/src/daemon-parts.ts
@@ -1,4 +1,4 @@
-/** What the three daemons open alike: wire, data folder, the operator's routes and figures (docs/design.md §10). */
+/** Parts shared by the three daemons: wire, data folder, operator routes and counts (docs/design.md §10). */
 import type { DiskCondition, Outcome } from "@chutewick/parts";
 import { Disk } from "./disk.js";
 import type { Opening } from "./gateway.js";
@@ -8,13 +8,13 @@
 import type { ConnectionCounts } from "./outgoing-connection.js";
 import { Wire } from "./wire.js";
 
-/** HTTP routes that every daemon answers for its operator. */
+/** HTTP routes that every daemon serves to operators. */
 export const operatorOpenings: readonly Opening[] = [
   { method: "GET", path: "/status", event: "operator.status" },
   { method: "GET", path: "/metrics", event: "operator.metrics" },
 ];
 
-/** A wire at the address that the settings name; `receive` gets each message with its sender's address. */
+/** Creates a wire at the configured address; `receive` is called with each message and its sender's address. */
 export function createWire(
   settings: Settings,
   log: Log,
@@ -28,36 +28,36 @@
   });
 }
 
-/** Whose data folder it is, and who hears how its disk fares. */
+/** Owner of a data folder, and the listener to the condition of its disk. */
 export interface DataFolderOwner {
   readonly kind: "control" | "storage";
   readonly settings: Settings;
   readonly log: Log;
-  /** Called each time the folder can no longer be written, and when it can again. */
+  /** Called when the folder can no longer be written, and when it can be written again. */
   readonly conditionChanged: (condition: DiskCondition) => void;
 }
 
-/** Opens a daemon's data folder; a damaged database is set aside and logged. The outcome is bad where the folder can't be used. */
+/** Opens a daemon's data folder; a damaged database is set aside and logged. The outcome is bad if the folder can't be used. */
 export async function openDataFolder(owner: DataFolderOwner): Promise<Outcome<Disk>> {
   const { kind, settings, log, conditionChanged } = owner;
   const listener = diskListener(log, conditionChanged);
   const disk = await Disk.open(settings.data!, { kind, name: settings.name }, listener);
   if (disk.ok && disk.value.damage !== undefined)
-    log.error({ damage: disk.value.damage }, "the database was set aside as damaged");
+    log.error({ damage: disk.value.damage }, "the database is damaged and was set aside");
   return disk;
 }
 
-/** Messages and connections of a wire since the start of its process, for the status of a daemon. */
+/** Counts of the messages and connections of a wire since the start of its process, for the status of a daemon. */
 export interface WireCounts {
   readonly sent: number;
   readonly dropped: number;
-  /** Connections refused because the other process speaks another protocol version. */
+  /** Connections refused because the other process uses an incompatible protocol version. */
   readonly refused: number;
-  /** Connections to other processes. */
+  /** Outgoing connections to other processes. */
   readonly connections: Readonly<ConnectionCounts>;
 }
 
-/** The counts of a wire as they stand now. */
+/** The current counts of a wire. */
 export function countsOfWire({ sent, dropped, refused, connections }: Wire): WireCounts {
   return { sent, dropped, refused, connections: { ...connections } };
 }
--- a/packages/shell/src/data-folder.ts
+++ b/packages/shell/src/data-folder.ts
@@ -1,3 +1,4 @@
+/** Files of a data folder: its lock, its database, and the handling of a damaged database (docs/design.md §10.2). */
 import {
   closeSync,
   existsSync,
@@ -16,101 +17,105 @@
 import { dirname, join } from "node:path";
 import { outcome, type Outcome } from "@chutewick/parts";
 
-/** Files of a data folder: who uses it, whether its database is whole, and what becomes of a damaged one (docs/design.md §10.2). */
-
-/** The database; lmdb's name for it. */
+/** Name that lmdb gives to its database file. */
 export const databaseFile = "data.mdb";
 const lmdbLockFile = "lock.mdb";
-/** Exists once the first transaction of the database is durable. */
-const begunFile = "begun";
-/** Process id and start of the holder. */
-const holderFile = "process";
-/** A database that was found damaged, kept for the operator. */
+/** Marker that exists once the first transaction of the database is durable. */
+const initializedMarkerFile = "begun";
+/** Lock file with the process id and the start time of its owner. */
+const ownerFile = "process";
+/** A damaged database that was set aside for the operator. */
 const damagedFile = "data.mdb.damaged";
 
-/** Written and removed at each start, to find out whether the disk takes writes. */
+/** Written and removed at each start to check that the disk accepts writes. */
 const probeFile = "probe";
-/** bytes. As much as lmdb writes when it opens a folder, where a refused write would end the process by a signal. */
-const probeSize = 65_536;
+/** As many bytes as lmdb writes when it opens a folder: a write that fails there would end the process with a signal. */
+const probeBytes = 65_536;
 
 const ownFiles: ReadonlySet<string> = new Set([
   databaseFile,
   lmdbLockFile,
-  begunFile,
-  holderFile,
+  initializedMarkerFile,
+  ownerFile,
   damagedFile,
   probeFile,
 ]);
 
-/** bytes. Page of an lmdb file. */
+/** Bytes of one page of an lmdb file. */
 const pageSize = 4_096;
-/** Marks a head page of an lmdb file. */
-const headMagic = 0xbeefc0de;
-/** bytes. Offsets within a head page. */
-const headStart = 24;
+/** Magic number of the two meta pages at the start of an lmdb file. */
+const metaPageMagic = 0xbeefc0de;
+/** Byte offset of the magic number in a meta page; the next two offsets count from it. */
+const magicOffset = 24;
 const lastPageOffset = 120;
 const transactionOffset = 128;
-/** bytes. Read at once when a file is looked through. */
-const readChunk = 1_048_576;
+/** Bytes per read when a whole file is checked. */
+const readChunkBytes = 1_048_576;
 
-/** A folder that was taken into use. */
-export interface TakenFolder {
-  /** Whether a database is to be made. */
+/** A data folder that this process has locked. */
+export interface AcquiredFolder {
+  /** Whether a new database must be created. */
   readonly isFresh: boolean;
-  /** Whether a database of this product was durable here. */
-  readonly hasBegun: boolean;
-  /** Whether an earlier database of this folder is lost: what is made now must not found a group (§2.2). */
+  /** Whether a database of this product has ever been durable in this folder. */
+  readonly wasInitialized: boolean;
+  /** Whether an earlier database of this folder was lost; a machine with its replacement must not found a group (docs/design.md §2.2). */
   readonly isReplacement: boolean;
-  /** Why the earlier database was set aside. */
+  /** Why the earlier database was set aside; undefined if it was not. */
   readonly damage: string | undefined;
 }
 
-/** Makes and locks the folder, and sets a damaged database aside. Throws what the file system throws. */
-export function takeFolder(folder: string): Outcome<TakenFolder> {
+/** Creates and locks the folder, and sets a damaged database aside. Errors of the file system are thrown unchanged. */
+export function acquireFolder(folder: string): Outcome<AcquiredFolder> {
   mkdirSync(folder, { recursive: true });
   const foreign = readdirSync(folder).find(isForeign);
   if (foreign !== undefined)
     return outcome.bad(`${folder}: holds files that are not chutewick's, such as ${foreign}`);
   const holder = lock(folder);
   if (holder !== undefined) return outcome.bad(`${folder}: is in use by process ${holder}`);
-  probe(join(folder, probeFile));
+  probeWrite(join(folder, probeFile));
   const database = join(folder, databaseFile);
-  const hasBegun = existsSync(join(folder, begunFile));
-  const wasSetAside = existsSync(join(folder, damagedFile));
-  if (!existsSync(database)) return outcome.good(fresh(hasBegun || wasSetAside));
-  const damage = inspect(database);
+  const wasInitialized = existsSync(join(folder, initializedMarkerFile));
+  const hasQuarantined = existsSync(join(folder, damagedFile));
+  if (!existsSync(database)) return outcome.good(newDatabase(wasInitialized || hasQuarantined));
+  const damage = findDamage(database);
   if (damage === undefined)
-    return outcome.good({ isFresh: false, hasBegun, isReplacement: false, damage: undefined });
-  if (hasBegun) {
-    setAside(folder);
-    return outcome.good({ ...fresh(true), damage });
+    return outcome.good({
+      isFresh: false,
+      wasInitialized,
+      isReplacement: false,
+      damage: undefined,
+    });
+  if (wasInitialized) {
+    quarantineDatabase(folder);
+    return outcome.good({ ...newDatabase(true), damage });
   }
-  /** Power went before the first transaction of this folder was durable: nothing was ever promised from it. */
-  if (!isUnfinished(database)) return outcome.bad(`${database}: ${damage}`);
+  // Power was lost before the first transaction of this folder was durable, so nothing in it was ever acknowledged.
+  if (!hasNoTransaction(database)) return outcome.bad(`${database}: ${damage}`);
   rmSync(database);
   rmSync(join(folder, lmdbLockFile), { force: true });
-  return outcome.good(fresh(wasSetAside));
+  return outcome.good(newDatabase(hasQuarantined));
 }
 
-function fresh(isReplacement: boolean): TakenFolder {
-  return { isFresh: true, hasBegun: false, isReplacement, damage: undefined };
+/** Outcome for a folder in which a new database must be created. */
+function newDatabase(isReplacement: boolean): AcquiredFolder {
+  return { isFresh: true, wasInitialized: false, isReplacement, damage: undefined };
 }
 
 /**
- * Takes a damaged database out of use and keeps it for the operator, in place of one kept before. Each step is durable before the next,
- * so that after a loss of power between them the folder is either damaged as before or without a database.
+ * Sets a damaged database aside for the operator, replacing an earlier one. Each step is durable before the next begins, so after a
+ * power loss in between the folder holds either the damaged database or none.
  */
-export function setAside(folder: string): void {
+export function quarantineDatabase(folder: string): void {
   renameSync(join(folder, databaseFile), join(folder, damagedFile));
   syncFolder(folder);
   rmSync(join(folder, lmdbLockFile), { force: true });
-  rmSync(join(folder, begunFile), { force: true });
+  rmSync(join(folder, initializedMarkerFile), { force: true });
   syncFolder(folder);
 }
 
-/** Says that the folder's first transaction is durable, and so are the names of the folder and its files. */
-export function markBegun(folder: string): void {
-  const marker = join(folder, begunFile);
+/** Records that the first transaction is durable, after syncing the directory entries of the folder and its files. */
+export function markInitialized(folder: string): void {
+  const marker = join(folder, initializedMarkerFile);
   if (existsSync(marker)) return;
   syncFolder(folder);
   syncFolder(dirname(folder));
@@ -120,12 +125,12 @@
   syncFolder(folder);
 }
 
-/** Lets another process take the folder. */
+/** Removes the lock, so that another process can use the folder. */
 export function releaseFolder(folder: string): void {
-  rmSync(join(folder, holderFile), { force: true });
+  rmSync(join(folder, ownerFile), { force: true });
 }
 
-/** A new file's name counts only once its folder is synced too. */
+/** Syncs a folder: the directory entry of a new file is durable only after that. */
 function syncFolder(folder: string): void {
   const descriptor = openSync(folder, "r");
   fsyncSync(descriptor);
@@ -136,8 +141,8 @@
   return !ownFiles.has(file);
 }
 
-/** Start of a process in clock ticks, so that a number used again is not taken for the old holder. */
-function startOf(process: number | "self"): string | undefined {
+/** Start time of a process in clock ticks, which tells a reused process id from the earlier process; undefined if there is none. */
+function processStartTicks(process: number | "self"): string | undefined {
   try {
     const line = readFileSync(`/proc/${process}/stat`, "utf8");
     return line.slice(line.lastIndexOf(")") + 2).split(" ")[19];
@@ -146,27 +151,28 @@
   }
 }
 
-/** The process that holds the folder, or undefined where it is this one's now. */
+/** Locks the folder for this process and returns undefined, or returns the id of the running process that has locked it. */
 function lock(folder: string): string | undefined {
-  const file = join(folder, holderFile);
+  const file = join(folder, ownerFile);
   if (existsSync(file)) {
     const [holder, start] = readFileSync(file, "utf8").split(" ");
     if (
       holder !== undefined &&
       start !== undefined &&
       Number(holder) !== process.pid &&
-      startOf(Number(holder)) === start
+      processStartTicks(Number(holder)) === start
     )
       return holder;
   }
-  writeFileSync(file, `${process.pid} ${startOf("self") ?? "0"}`);
+  writeFileSync(file, `${process.pid} ${processStartTicks("self") ?? "0"}`);
   return undefined;
 }
 
-function probe(file: string): void {
+/** Writes, syncs and removes a file, to check that the disk accepts writes. */
+function probeWrite(file: string): void {
   const descriptor = openSync(file, "w");
   try {
-    writeSync(descriptor, Buffer.alloc(probeSize));
+    writeSync(descriptor, Buffer.alloc(probeBytes));
     fsyncSync(descriptor);
   } finally {
     closeSync(descriptor);
@@ -174,13 +180,13 @@
   }
 }
 
-/** Whether no transaction of it was ever durable: shorter than its two heads, or they name no transaction with pages. */
-function isUnfinished(file: string): boolean {
-  return statSync(file).size < pageSize * 2 || lastPage(file) === undefined;
+/** Whether the file has no durable transaction: it is shorter than its two meta pages, or neither of them is valid. */
+function hasNoTransaction(file: string): boolean {
+  return statSync(file).size < pageSize * 2 || readLastPage(file) === undefined;
 }
 
-/** The last page of the newest transaction that the file's two heads tell of; undefined where neither is one. */
-function lastPage(file: string): bigint | undefined {
+/** The last used page of the newest transaction, from the two meta pages of the file; undefined if neither is valid. */
+function readLastPage(file: string): bigint | undefined {
   const bytes = Buffer.alloc(pageSize * 2);
   const descriptor = openSync(file, "r");
   try {
@@ -191,39 +197,40 @@
   let last: bigint | undefined;
   let newest = -1n;
   for (const page of [0, pageSize]) {
-    const head = page + headStart;
-    if (bytes.readUInt32LE(head) !== headMagic) continue;
-    const transaction = bytes.readBigUInt64LE(head + transactionOffset);
+    const magic = page + magicOffset;
+    if (bytes.readUInt32LE(magic) !== metaPageMagic) continue;
+    const transaction = bytes.readBigUInt64LE(magic + transactionOffset);
     if (transaction <= newest) continue;
     newest = transaction;
-    last = bytes.readBigUInt64LE(head + lastPageOffset);
+    last = bytes.readBigUInt64LE(magic + lastPageOffset);
   }
   return last;
 }
 
 /**
- * What is wrong with a database file, if anything. It is mapped into memory later, where a missing or unreadable page would end the
- * process by a signal, so it is measured and read through first.
+ * Describes the damage of a database file; undefined if there is none. The file is mapped into memory later, where a missing or
+ * unreadable page would end the process with a signal, so its length is checked and its pages are read first.
  */
-function inspect(file: string): string | undefined {
+function findDamage(file: string): string | undefined {
   const { size } = statSync(file);
   if (size < pageSize * 2) return "is cut off";
   try {
-    const last = lastPage(file);
+    const last = readLastPage(file);
     if (last === undefined) return "is not an lmdb file";
     const used = (last + 1n) * BigInt(pageSize);
     if (BigInt(size) < used) return `is cut off: ${size} bytes, and page ${last} is used`;
-    readThrough(file, Number(used));
+    readEveryByte(file, Number(used));
     return undefined;
   } catch (error) {
     return `cannot be read: ${(error as Error).message}`;
   }
 }
 
-function readThrough(file: string, bytes: number): void {
+/** Reads the first `bytes` bytes of a file; throws if any of them cannot be read. */
+function readEveryByte(file: string, bytes: number): void {
   const descriptor = openSync(file, "r");
   try {
-    const chunk = Buffer.alloc(Math.min(readChunk, bytes));
+    const chunk = Buffer.alloc(Math.min(readChunkBytes, bytes));
     for (let position = 0; position < bytes; position += chunk.length)
       readSync(descriptor, chunk, 0, chunk.length, position);
   } finally {
--- a/packages/shell/src/disk.ts
+++ b/packages/shell/src/disk.ts
@@ -1,3 +1,4 @@
+/** The data folder of one process: a synced lmdb database of votes, chain states, records and log entries (docs/design.md §10.2). */
 import { randomUUID } from "node:crypto";
 import { statSync, truncate } from "node:fs";
 import { join } from "node:path";
@@ -16,26 +17,28 @@
 } from "@chutewick/parts";
 import {
   databaseFile,
-  markBegun,
+  markInitialized,
   releaseFolder,
-  setAside,
-  takeFolder,
-  type TakenFolder,
+  quarantineDatabase,
+  acquireFolder,
+  type AcquiredFolder,
 } from "./data-folder.js";
 import { WriteQueue, type JobStore, type WriteJob } from "./write-queue.js";
 import type { RootDatabase } from "lmdb";
 
-/** First record of a data folder. */
-interface Meta {
+/** Record that identifies a data folder; it is written first. */
+interface FolderMetadata {
   readonly product: string;
+  /** Format version of the folder. */
   readonly mark: number;
+  /** Kind of machine that owns the folder: control or storage. */
   readonly kind: string;
   readonly identity: string;
-  /** Set where an earlier database of this folder was lost. */
+  /** Whether an earlier database of this folder was lost. */
   readonly isReplacement?: boolean;
 }
 
-/** Whose folder it is. */
+/** The machine that owns a data folder. */
 export interface DiskOwner {
   /** Kind of machine: control or storage. */
   readonly kind: string;
@@ -43,35 +46,37 @@
   readonly name: string;
 }
 
-/** What is told of a disk. */
+/** Receives the events of a disk. */
 export interface DiskListener {
-  /** The disk's condition changed; with the error of the last failed commit. */
+  /** The condition of the disk changed; `error` is that of the last failed commit. */
   changed(condition: DiskCondition, error: Error | undefined): void;
-  /** An attempt to open the folder failed, and another one follows. */
+  /** An attempt to open the folder failed and will be repeated. */
   waiting(reason: string): void;
 }
 
-/** What the folder held when it was opened. */
-interface Found {
+/** Contents of the folder at the time it was opened. */
+interface PersistedState {
   readonly votes: VoteState | undefined;
   readonly holdings: ReadonlyMap<string, ChainHolding>;
 }
 
+/** A folder whose database is open and checked. */
 interface OpenedFolder {
   readonly folder: string;
   readonly base: RootDatabase;
-  readonly meta: Meta;
-  readonly found: Found;
+  readonly meta: FolderMetadata;
+  readonly persisted: PersistedState;
+  /** Why an earlier database of the folder was set aside, if it was. */
   readonly damage: string | undefined;
 }
 
 const truncateFile = promisify(truncate);
 
-/** lmdb's code for an environment that can no longer be used, as after a failed write of its head page. */
-const lmdbPanic = -30_795;
+/** MDB_PANIC of lmdb: the environment can no longer be used, as after a failed write of a meta page. */
+const lmdbPanicCode = -30_795;
 
-/** Codes of errors that pass once the disk has room or answers again: of the file system by name, of lmdb by number. */
-const passingCodes: ReadonlySet<unknown> = new Set([
+/** Codes of errors that end once the disk has free space or responds again: names from the file system, numbers from lmdb. */
+const transientErrorCodes: ReadonlySet<unknown> = new Set([
   "ENOSPC",
   "EDQUOT",
   "EFBIG",
@@ -80,39 +85,43 @@
   122,
   27,
   5,
-  lmdbPanic,
+  lmdbPanicCode,
 ]);
 
-/** Thrown where a data folder cannot be written now, but may be later. */
-class FolderUnwritable extends Error {}
+/** Thrown when a data folder cannot be written now but may become writable later. */
+class FolderNotWritableError extends Error {}
 
-/** One data folder, one process; a write counts only once it is synced (docs/design.md §10.2). */
+/** Data folder of one process. A write is reported as done only after it is synced to disk (docs/design.md §10.2). */
 export class Disk implements JobStore {
+  /** Name of the machine with a random part that changes when the database is lost. */
   readonly identity: string;
-  /** Whether an earlier database of this folder was lost, so that this machine must not found a group (§2.2). */
+  /** Whether an earlier database of this folder was lost, in which case this machine must not found a group (docs/design.md §2.2). */
   readonly isReplacement: boolean;
-  /** Why the database found here was set aside when the folder was opened. */
+  /** Why the existing database was set aside when the folder was opened; undefined if it was not. */
   readonly damage: string | undefined;
   #folder: string;
-  #base: RootDatabase;
-  #found: Found;
+  #database: RootDatabase;
+  #persisted: PersistedState;
   #queue: WriteQueue;
-  /** bytes. Length that the file surely has. */
-  #reserved = 0;
+  /** Length in bytes to which the database file was last extended. */
+  #reservedBytes = 0;
 
-  private constructor({ folder, base, meta, found, damage }: OpenedFolder, listener: DiskListener) {
+  private constructor(
+    { folder, base, meta, persisted, damage }: OpenedFolder,
+    listener: DiskListener,
+  ) {
     this.#folder = folder;
-    this.#base = base;
+    this.#database = base;
     this.identity = meta.identity;
     this.isReplacement = meta.isReplacement === true;
     this.damage = damage;
-    this.#found = found;
+    this.#persisted = persisted;
     this.#queue = new WriteQueue(this, listener.changed.bind(listener));
   }
 
   /**
-   * Opens a folder, and waits with a growing pause while its disk takes no writes. A damaged database is set aside and a blank one with
-   * a new identity made.
+   * Opens a folder. Retries with an exponential delay while the disk refuses writes. A damaged database is set aside and replaced by an
+   * empty one with a new identity.
    */
   static async open(
     folder: string,
@@ -124,11 +133,11 @@
       try {
         return await Disk.#tryOpen(folder, owner, listener);
       } catch (error) {
-        if (!(error instanceof FolderUnwritable))
+        if (!(error instanceof FolderNotWritableError))
           return outcome.bad(`${folder}: cannot be opened: ${(error as Error).message}`);
         listener.waiting(error.message);
       }
-      await elapsed(pause);
+      await sleep(pause);
       pause = Math.min(pause * 2, constants.diskRetryMost);
     }
   }
@@ -138,169 +147,178 @@
     owner: DiskOwner,
     listener: DiskListener,
   ): Promise<Outcome<Disk>> {
-    let base: RootDatabase | undefined;
+    let database: RootDatabase | undefined;
     try {
-      let taken = takeFolder(folder);
-      if (!taken.ok) return taken;
-      let damage = taken.value.damage;
-      base = await openBase(folder);
-      let found = readAll(base);
-      if (typeof found === "string") {
-        if (!taken.value.hasBegun) return outcome.bad(`${folder}: ${found}`);
-        damage = found;
-        await base.close();
-        setAside(folder);
-        taken = takeFolder(folder);
-        if (!taken.ok) return taken;
-        base = await openBase(folder);
-        found = nothingFound;
+      let acquired = acquireFolder(folder);
+      if (!acquired.ok) return acquired;
+      let damage = acquired.value.damage;
+      database = await openDatabase(folder);
+      let persisted = readAll(database);
+      if (typeof persisted === "string") {
+        if (!acquired.value.wasInitialized) return outcome.bad(`${folder}: ${persisted}`);
+        damage = persisted;
+        await database.close();
+        quarantineDatabase(folder);
+        acquired = acquireFolder(folder);
+        if (!acquired.ok) return acquired;
+        database = await openDatabase(folder);
+        persisted = emptyState;
       }
-      const meta = await metaOf(base, folder, owner, taken.value);
+      const meta = await checkMetadata(database, folder, owner, acquired.value);
       if (!meta.ok) {
-        await base.close();
+        await database.close();
         return meta;
       }
-      const disk = new Disk({ folder, base, meta: meta.value, found, damage }, listener);
-      await disk.#reserve();
+      const disk = new Disk(
+        { folder, base: database, meta: meta.value, persisted, damage },
+        listener,
+      );
+      await disk.#reserveSpace();
       return outcome.good(disk);
     } catch (error) {
       const cause = await causeOf(error as Error);
-      await base?.close().catch(ignore);
-      if (isPassing(cause)) throw new FolderUnwritable(cause.message);
+      await database?.close().catch(ignore);
+      if (isTransient(cause)) throw new FolderNotWritableError(cause.message);
       throw cause;
     }
   }
 
+  /** Whether the disk accepts writes, as far as its last commits show. */
   get condition(): DiskCondition {
     return this.#queue.condition;
   }
 
+  /** Commits that became durable since the start. */
   get syncs(): number {
     return this.#queue.commits;
   }
 
-  /** To be called with each beat of the process. */
+  /** Must be called at each tick of the process. */
   beat(now: number): void {
     this.#queue.beat(now);
   }
 
-  /** Votes that were held when the folder was opened. */
+  /** Persisted votes at the time the folder was opened. */
   votes(): VoteState | undefined {
-    return this.#found.votes;
+    return this.#persisted.votes;
   }
 
-  /** Names of the chains that were held when the folder was opened. */
+  /** Names of the chains persisted at the time the folder was opened. */
   chains(): string[] {
-    return [...this.#found.holdings.keys()];
+    return [...this.#persisted.holdings.keys()];
   }
 
-  /** What was held of a chain when the folder was opened. */
+  /** Persisted state of a chain at the time the folder was opened. */
   holding(chain: string): ChainHolding | undefined {
-    return this.#found.holdings.get(chain);
+    return this.#persisted.holdings.get(chain);
   }
 
-  /** Drops what was read at opening, once the cores have taken it. */
+  /** Releases the state that was read at opening; call it once the cores have loaded that state. */
   forgetFound(): void {
-    this.#found = nothingFound;
+    this.#persisted = emptyState;
   }
 
+  /** Queues a write of the votes; `done` runs once it is durable. */
   writeVotes(state: VoteState, done: () => void): void {
     const self = this;
     function apply(): void {
-      self.#base.put("votes", state);
+      self.#database.put("votes", state);
     }
     this.#queue.add({ apply, done });
   }
 
+  /** Queues a write to a chain; `done` runs once it is durable. */
   writeChain(chain: string, write: ChainWrite, done: () => void): void {
     const self = this;
     function apply(): void {
-      applyChain(self.#base, chain, write);
+      applyChainWrite(self.#database, chain, write);
     }
     this.#queue.add({ apply, done });
   }
 
-  /** One synced transaction in a thread of its own; this process's loop goes on meanwhile. */
+  /** Commits all jobs in one synced transaction. lmdb runs it in a thread of its own, so the event loop is not blocked. */
   async commit(jobs: readonly WriteJob[]): Promise<void> {
-    function all(): void {
+    function applyAll(): void {
       for (const job of jobs) job.apply();
     }
     try {
-      await this.#base.transaction(all);
-      await this.#reserve();
+      await this.#database.transaction(applyAll);
+      await this.#reserveSpace();
     } catch (error) {
       const cause = await causeOf(error as Error);
-      if ((cause as { code?: unknown }).code === lmdbPanic) await this.#reopen();
+      if ((cause as { code?: unknown }).code === lmdbPanicCode) await this.#reopen();
       throw cause;
     }
   }
 
-  /** After a failed write of a head page lmdb refuses everything until it is opened anew. */
+  /** After a failed write of a meta page lmdb refuses every operation until the environment is opened again. */
   async #reopen(): Promise<void> {
-    await this.#base.close();
-    this.#base = await openBase(this.#folder);
+    await this.#database.close();
+    this.#database = await openDatabase(this.#folder);
   }
 
   /**
-   * Keeps the file longer than its last page: lmdb does not write pages that a transaction took and gave back, and a file that ends
-   * before them looks cut off.
+   * Keeps the file longer than its last used page: lmdb does not write pages that one transaction allocated and freed again, and a file
+   * that ends before them looks truncated.
    */
-  async #reserve(): Promise<void> {
-    const { lastPageNumber, pageSize } = this.#base.getStats() as {
+  async #reserveSpace(): Promise<void> {
+    const { lastPageNumber, pageSize } = this.#database.getStats() as {
       lastPageNumber: number;
       pageSize: number;
     };
     const used = (lastPageNumber + 1) * pageSize;
-    if (used + constants.diskAhead / 2 <= this.#reserved) return;
+    if (used + constants.diskAhead / 2 <= this.#reservedBytes) return;
     const file = join(this.#folder, databaseFile);
     const length = Math.max(statSync(file).size, used + constants.diskAhead);
     await truncateFile(file, length);
-    this.#reserved = length;
+    this.#reservedBytes = length;
   }
 
+  /** Stops all writes and releases the folder for other processes. */
   async close(): Promise<void> {
     this.#queue.close();
-    /** Closing waits for the commit in flight, which a stalled disk does not end. */
-    if (this.condition === "writable") await this.#base.close();
+    // Closing lmdb waits for the commit in flight, which never ends on a stalled disk.
+    if (this.condition === "writable") await this.#database.close();
     releaseFolder(this.#folder);
   }
 }
 
-const nothingFound: Found = { votes: undefined, holdings: new Map() };
+const emptyState: PersistedState = { votes: undefined, holdings: new Map() };
 
-/** Only processes with a folder load lmdb's native code. */
-async function openBase(folder: string): Promise<RootDatabase> {
+/** Imports lmdb only here, so that processes without a data folder do not load its native code. */
+async function openDatabase(folder: string): Promise<RootDatabase> {
   const { open } = await import("lmdb");
   return open({
     path: folder,
-    /** It would resolve writes before they are synced. */
+    // Overlapping syncs would resolve writes before they are synced to disk.
     overlappingSync: false,
-    /** Its promises cannot be reached, and one that is rejected by a failed commit would end the process. */
+    // The promises of batched turns are not accessible, and an unhandled rejection after a failed commit would end the process.
     eventTurnBatching: false,
     compression: false,
     cache: false,
   });
 }
 
-async function metaOf(
-  base: RootDatabase,
+/** Reads the metadata of a folder, writes it into an empty database, and checks that the folder belongs to this machine. */
+async function checkMetadata(
+  database: RootDatabase,
   folder: string,
   { kind, name }: DiskOwner,
-  taken: TakenFolder,
-): Promise<Outcome<Meta>> {
-  let meta = base.get("meta") as Meta | undefined;
+  acquired: AcquiredFolder,
+): Promise<Outcome<FolderMetadata>> {
+  let meta = database.get("meta") as FolderMetadata | undefined;
   if (meta === undefined) {
-    if (!taken.isFresh) return outcome.bad(`${folder}: ${databaseFile} is not chutewick's`);
+    if (!acquired.isFresh) return outcome.bad(`${folder}: ${databaseFile} is not chutewick's`);
     meta = {
       product: "chutewick",
       mark: constants.diskMark,
       kind,
       identity: `${name}-${randomUUID()}`,
-      ...(taken.isReplacement ? { isReplacement: true } : {}),
+      ...(acquired.isReplacement ? { isReplacement: true } : {}),
     };
-    await base.put("meta", meta);
+    await database.put("meta", meta);
   }
-  markBegun(folder);
+  markInitialized(folder);
   if (meta.product !== "chutewick") return outcome.bad(`${folder}: belongs to ${meta.product}`);
   if (meta.mark > constants.diskMark || meta.mark < constants.diskMarkOldest)
     return outcome.bad(
@@ -311,53 +329,56 @@
   return outcome.good(meta);
 }
 
-/** All that the folder holds, or what is wrong with it where it cannot be read. */
-function readAll(base: RootDatabase): Found | string {
+/** Reads the persisted state, or returns the reason why it cannot be read. */
+function readAll(database: RootDatabase): PersistedState | string {
   try {
     const holdings = new Map<string, ChainHolding>();
-    for (const { key, value } of base.getRange({ start: ["state"], end: ["state", "\uffff"] })) {
+    for (const { key, value } of database.getRange({
+      start: ["state"],
+      end: ["state", "\uffff"],
+    })) {
       const chain = (key as string[])[1]!;
-      holdings.set(chain, holdingOf(base, chain, value as ChainState));
+      holdings.set(chain, readHolding(database, chain, value as ChainState));
     }
-    return { votes: base.get("votes") as VoteState | undefined, holdings };
+    return { votes: database.get("votes") as VoteState | undefined, holdings };
   } catch (error) {
     return `cannot be read: ${(error as Error).message}`;
   }
 }
 
-function holdingOf(base: RootDatabase, chain: string, state: ChainState): ChainHolding {
+function readHolding(database: RootDatabase, chain: string, state: ChainState): ChainHolding {
   const records: Change[] = [];
-  for (const { key, value } of base.getRange(recordsOf(chain)))
+  for (const { key, value } of database.getRange(recordKeyRange(chain)))
     records.push([(key as string[])[2]!, value]);
   const entries: Entry[] = [];
-  for (const { value } of base.getRange(entriesOf(chain))) entries.push(value as Entry);
+  for (const { value } of database.getRange(entryKeyRange(chain))) entries.push(value as Entry);
   return { state, records, entries };
 }
 
-function recordsOf(chain: string): { start: string[]; end: string[] } {
+function recordKeyRange(chain: string): { start: string[]; end: string[] } {
   return { start: ["record", chain], end: ["record", chain, "\uffff"] };
 }
 
-function entriesOf(chain: string): { start: string[]; end: (string | number)[] } {
+function entryKeyRange(chain: string): { start: string[]; end: (string | number)[] } {
   return { start: ["entry", chain], end: ["entry", chain, Number.MAX_SAFE_INTEGER] };
 }
 
-/** Within a transaction. Sets and removes by key only, so that the same write can be applied again after a failed commit. */
-function applyChain(base: RootDatabase, chain: string, write: ChainWrite): void {
+/** Must run inside a transaction. Only puts and removes keys, so the same write can be applied again after a failed commit. */
+function applyChainWrite(database: RootDatabase, chain: string, write: ChainWrite): void {
   if (write.clear) {
-    for (const key of [...base.getKeys(recordsOf(chain))]) base.remove(key);
-    for (const key of [...base.getKeys(entriesOf(chain))]) base.remove(key);
+    for (const key of [...database.getKeys(recordKeyRange(chain))]) database.remove(key);
+    for (const key of [...database.getKeys(entryKeyRange(chain))]) database.remove(key);
   }
   for (const [key, value] of write.changes) {
-    if (value === undefined || value === null) base.remove(["record", chain, key]);
-    else base.put(["record", chain, key], value);
+    if (value === undefined || value === null) database.remove(["record", chain, key]);
+    else database.put(["record", chain, key], value);
   }
-  for (const entry of write.entries) base.put(["entry", chain, entry.place], entry);
-  for (const place of write.drop) base.remove(["entry", chain, place]);
-  base.put(["state", chain], write.state);
+  for (const entry of write.entries) database.put(["entry", chain, entry.place], entry);
+  for (const place of write.drop) database.remove(["entry", chain, place]);
+  database.put(["state", chain], write.state);
 }
 
-/** lmdb tells the reason of a failed commit in a promise of its own, which must be taken or it ends the process. */
+/** lmdb reports the cause of a failed commit in a separate promise; if its rejection is not handled, the process ends. */
 async function causeOf(error: Error): Promise<Error> {
   const { commitError } = error as { commitError?: Promise<unknown> };
   if (commitError === undefined) return error;
@@ -369,11 +390,11 @@
   return error;
 }
 
-function isPassing(error: Error): boolean {
-  return passingCodes.has((error as { code?: unknown }).code);
+function isTransient(error: Error): boolean {
+  return transientErrorCodes.has((error as { code?: unknown }).code);
 }
 
-function elapsed(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   function begin(resolve: () => void): void {
     setTimeout(resolve, milliseconds);
   }
@@ -381,5 +402,5 @@
 }
 
 function ignore(): void {
-  // Nothing is to be done.
+  // The error that made the caller close the database is reported instead.
 }
--- a/packages/shell/src/frame-batch.ts
+++ b/packages/shell/src/frame-batch.ts
@@ -1,9 +1,9 @@
-/** Frames that one turn of the event loop sends on a connection, written together (docs/design.md §10.3). */
+/** Batches the frames that one turn of the event loop sends on a connection (docs/design.md §10.3). */
 import type { Socket } from "node:net";
 
 /**
- * Collects the frames of one connection until the current callback is over, and writes them at once: one system call, and
- * usually one wake-up of the receiver, in place of one for each message.
+ * Collects the frames of one connection until the current callback ends and writes them together: one system call, and usually
+ * one wake-up of the receiver, instead of one for each message.
  */
 export class FrameBatch {
   readonly #socket: Socket;
@@ -14,7 +14,7 @@
     this.#socket = socket;
   }
 
-  /** Bytes that have not reached the kernel: those of this batch and those that the socket holds. */
+  /** Bytes not yet passed to the kernel: those of this batch and those buffered by the socket. */
   get unsentBytes(): number {
     return this.#bytes + this.#socket.writableLength;
   }
@@ -26,7 +26,7 @@
     this.#bytes += frame.length;
   }
 
-  /** Writes what was added; to be called before the socket is closed. */
+  /** Writes the collected frames; must be called before the socket is closed. */
   flush(): void {
     const [first] = this.#frames;
     if (first === undefined) return;
--- a/packages/shell/src/frames.ts
+++ b/packages/shell/src/frames.ts
@@ -1,16 +1,16 @@
-/** Frames between processes: a length of four bytes and a msgpack body (docs/design.md §10.3). */
+/** Frames between processes: a length of four bytes followed by a msgpack body (docs/design.md §10.3). */
 import { constants } from "@chutewick/parts";
 import { Packr } from "msgpackr";
 
 const LENGTH_BYTES = 4;
 const packer = new Packr({ useRecords: false });
 
-/** Bytes that are no frame: the connection cannot be read any further. */
+/** Thrown for bytes that are not a valid frame, after which the connection cannot be read any further. */
 export class FrameError extends Error {
   override readonly name = "FrameError";
 }
 
-/** The frame that carries a message. */
+/** Encodes a message as a frame. */
 export function encodeFrame(message: unknown): Buffer {
   const body = packer.pack(message);
   const frame = Buffer.allocUnsafe(body.length + LENGTH_BYTES);
@@ -19,41 +19,42 @@
   return frame;
 }
 
-/** Cuts the bytes of one connection into messages. */
+/** Parses the bytes of one connection into messages. */
 export class FrameReader {
-  #held: Buffer[] = [];
-  #size = 0;
-  /** Bytes that must be here before the next frame can be whole. */
-  #needed = LENGTH_BYTES;
+  #chunks: Buffer[] = [];
+  #bufferedBytes = 0;
+  /** Bytes that must be buffered before the next frame can be complete. */
+  #neededBytes = LENGTH_BYTES;
 
   /**
-   * Takes the next bytes and yields each message that is whole.
+   * Adds the next bytes and yields each message that is complete.
    *
-   * @throws FrameError where the bytes are no frame, or one over the bound.
+   * @throws FrameError if the bytes are not a frame, or the frame exceeds the size limit.
    */
   *read(chunk: Buffer): Generator<unknown> {
-    this.#held.push(chunk);
-    this.#size += chunk.length;
-    if (this.#size < this.#needed) return;
-    let rest = this.#held.length === 1 ? chunk : Buffer.concat(this.#held, this.#size);
+    this.#chunks.push(chunk);
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes < this.#neededBytes) return;
+    let rest = this.#chunks.length === 1 ? chunk : Buffer.concat(this.#chunks, this.#bufferedBytes);
     for (;;) {
-      const frameSize = frameSizeOf(rest);
+      const frameSize = frameSizeAt(rest);
       if (frameSize === undefined || rest.length < frameSize) break;
       const body = rest.subarray(LENGTH_BYTES, frameSize);
       rest = rest.subarray(frameSize);
       yield unpack(body);
     }
-    this.#held = rest.length === 0 ? [] : [rest];
-    this.#size = rest.length;
-    this.#needed = frameSizeOf(rest) ?? LENGTH_BYTES;
+    this.#chunks = rest.length === 0 ? [] : [rest];
+    this.#bufferedBytes = rest.length;
+    this.#neededBytes = frameSizeAt(rest) ?? LENGTH_BYTES;
   }
 }
 
-/** Bytes of the frame that begins here; undefined where not even its length has come. */
-function frameSizeOf(bytes: Buffer): number | undefined {
+/** Size in bytes of the frame at the start of a buffer; undefined if its length field is incomplete. */
+function frameSizeAt(bytes: Buffer): number | undefined {
   if (bytes.length < LENGTH_BYTES) return undefined;
   const length = bytes.readUInt32BE(0);
-  if (length > constants.messageMost) throw new FrameError(`a message of ${length} bytes`);
+  if (length > constants.messageMost)
+    throw new FrameError(`a message of ${length} bytes exceeds the size limit`);
   return length + LENGTH_BYTES;
 }
 
@@ -61,6 +62,6 @@
   try {
     return packer.unpack(body);
   } catch {
-    throw new FrameError("not a message");
+    throw new FrameError("the frame body is not valid msgpack");
   }
 }
--- a/packages/shell/src/gateway.ts
+++ b/packages/shell/src/gateway.ts
@@ -1,3 +1,4 @@
+/** HTTP server for callers, runners and operators: moleculer-web in one process, without a transporter (docs/design.md §10.4). */
 import {
   createServer,
   type IncomingMessage,
@@ -17,51 +18,57 @@
 import { invariants } from "./invariants.js";
 import type { Log } from "./log.js";
 import { metrics } from "./metrics.js";
-import { refuseUnread, type ReadError } from "./read-errors.js";
+import { refuseUnreadable, type ReadError } from "./read-errors.js";
 import { replyTrouble } from "./reply.js";
 import { readWhole, type WholeArrival } from "./whole-request.js";
 
-/** HTTP towards callers, runners and operators, through moleculer-web in one process without transporter (docs/design.md §10.4). */
+/** A request with a parsed body. */
 export interface Arrival {
   readonly parameters: Readonly<Record<string, string>>;
   readonly query: Readonly<Record<string, string>>;
   readonly body: unknown;
   readonly path: string;
   readonly headers: IncomingMessage["headers"];
+  /** Response to be written. */
   readonly reply: ServerResponse;
 }
 
+/** Route whose requests are emitted as an event. */
 export interface Opening {
   readonly method: "GET" | "POST" | "PUT" | "PATCH" | "DELETE";
   readonly path: string;
-  /** Name of the event that carries the arrival to its owner. */
+  /** Name of the event that carries the request to its owner. */
   readonly event: string;
 }
 
+/** Options of a gateway. */
 export interface GatewayOptions {
+  /** IP:port to listen on. */
   readonly address: string;
   readonly log: Log;
   readonly openings: readonly Opening[];
-  /** Event that carries every arrival whole, whatever its path; then there are no openings. */
+  /** Event that carries every request with its raw body, whatever its path; if it is set, no routes are used. */
   readonly whole?: string;
-  /** What a caller of whole arrivals may send and how long it may take, asked anew for each; the usual limits where none are given. */
+  /** Limits on size and time of raw requests, read again for each request; the default limits if absent. */
   readonly limits?: () => CallerLimits;
-  /** Owners: services that take arrivals as events. */
+  /** Services that receive the requests as events. */
   readonly owners: readonly ServiceSchema[];
 }
 
+/** Request as moleculer-web extends it. */
 interface Incoming extends IncomingMessage {
   $params: { params: Record<string, string> };
   body: unknown;
   parsedUrl?: string;
 }
 
+/** Serves HTTP and emits each request as an event to the services that own the routes. */
 export class Gateway {
   #options: GatewayOptions;
   #broker: ServiceBroker;
   #connections = new CallerConnections();
   #server: Server | undefined;
-  #isEnding = false;
+  #isStopping = false;
 
   constructor(options: GatewayOptions) {
     this.#options = options;
@@ -70,24 +77,25 @@
       transporter: null as never,
       metrics: false,
       tracing: false,
-      /** Neither is used here, and each costs a start some ms of processor time. */
+      // Neither is used, and each adds some ms of processor time to the start.
       validator: false as never,
       internalServices: false,
       skipProcessEventRegistration: true,
     });
   }
 
+  /** Starts the server. */
   async open(): Promise<void> {
     const { address, openings, owners } = this.#options;
-    const cut = address.lastIndexOf(":");
+    const separator = address.lastIndexOf(":");
     const broker = this.#broker;
     const self = this;
     const connections = this.#connections;
     const aliases: Record<string, unknown> = {};
     for (const opening of openings) {
-      function arrive(incoming: Incoming, response: ServerResponse): void {
-        if (connections.isOver(incoming.socket)) return;
-        if (self.#isEnding) return refuseAtEnd(response);
+      function receive(incoming: Incoming, response: ServerResponse): void {
+        if (connections.isClosingAfterResponse(incoming.socket)) return;
+        if (self.#isStopping) return refuseWhileStopping(response);
         const url = new URL(incoming.url ?? "/", "http://gateway");
         const original = new URL(
           (incoming as { originalUrl?: string }).originalUrl ?? incoming.url ?? "/",
@@ -104,7 +112,7 @@
         metrics.arrived(response, opening.event);
         void broker.emit(opening.event, arrival);
       }
-      aliases[`${opening.method} ${opening.path}`] = arrive;
+      aliases[`${opening.method} ${opening.path}`] = receive;
     }
     function onError(
       _incoming: IncomingMessage,
@@ -133,16 +141,16 @@
         });
       else replyTrouble(response, 500, { trouble: "internal", reason: error.message });
     }
-    const { whole, limits = usualLimits } = this.#options;
-    function taken(arrival: WholeArrival): void {
+    const { whole, limits = defaultLimits } = this.#options;
+    function publish(arrival: WholeArrival): void {
       void broker.emit(whole!, arrival);
     }
-    function gather(incoming: IncomingMessage, response: ServerResponse): void {
-      if (connections.isOver(incoming.socket)) return;
-      if (self.#isEnding) return refuseAtEnd(response);
-      readWhole(incoming, response, limits(), taken);
+    function receiveWhole(incoming: IncomingMessage, response: ServerResponse): void {
+      if (connections.isClosingAfterResponse(incoming.socket)) return;
+      if (self.#isStopping) return refuseWhileStopping(response);
+      readWhole(incoming, response, limits(), publish);
     }
-    /** The library's own server cannot be told how often to look for slow callers. */
+    // The library's own server has no option for the interval at which slow connections are checked.
     function create(this: { server: Server; httpHandler: RequestListener }): void {
       const timing =
         whole === undefined
@@ -155,7 +163,7 @@
           : { connectionsCheckingInterval: constants.slowCheckEvery };
       this.server = createServer(
         { ...timing, noDelay: true },
-        whole === undefined ? this.httpHandler : gather,
+        whole === undefined ? this.httpHandler : receiveWhole,
       );
     }
     const route = {
@@ -164,18 +172,18 @@
       mappingPolicy: "restrict",
       mergeParams: false,
       autoAliases: false,
-      bodyParsers: { json: { strict: true, limit: constants.bodyMost, type: everyBody } },
+      bodyParsers: { json: { strict: true, limit: constants.bodyMost, type: matchEveryBody } },
       onError,
     };
     const api = {
       name: "gateway",
       mixins: [ApiService as unknown as ServiceSchema],
       settings: {
-        port: Number(address.slice(cut + 1)),
-        ip: address.slice(0, cut),
+        port: Number(address.slice(separator + 1)),
+        ip: address.slice(0, separator),
         routes: whole === undefined ? [route] : [],
         onError,
-        /** No two openings of one method match the same path, and sorting them loads a collator. */
+        // No two routes of one method match the same path, and sorting them would load a collator.
         optimizeOrder: false,
         logRequest: false,
         logRequestParams: false,
@@ -193,86 +201,87 @@
     this.#server = service.server;
     connections.watch(service.server);
     if (whole !== undefined) new CallerTiming(service.server, limits).watch();
-    function unreadable(error: ReadError, socket: Duplex): void {
-      refuseUnread(connections, error, socket);
+    function refuse(error: ReadError, socket: Duplex): void {
+      refuseUnreadable(connections, error, socket);
     }
-    service.server.on("clientError", unreadable);
+    service.server.on("clientError", refuse);
     await broker.start();
   }
 
-  /** host:port it listens at; the port that was taken where none was given. */
+  /** IP:port of the server; the assigned port if port 0 was configured. */
   get address(): string {
     const { address, port } = this.#server!.address() as AddressInfo;
     return `${address}:${port}`;
   }
 
-  /** Requests whose responses have not been written whole. */
+  /** Number of requests whose responses have not been written completely. */
   get underWay(): number {
     return this.#connections.underWay;
   }
 
-  /** A planned stop begins: each connection ends with its next response. */
+  /** Begins a planned stop: each connection is closed after its next response. */
   leave(): void {
-    this.#connections.endWithResponses();
+    this.#connections.closeAfterResponses();
   }
 
-  /** Closes once each request that was read has its response. patience in ms: after it, those without one get a last answer. */
-  async close(patience = 0): Promise<void> {
+  /** Closes once every request that was read has a response. Requests without one after `timeoutMs` are answered with an error. */
+  async close(timeoutMs = 0): Promise<void> {
     this.leave();
-    await this.#answered(patience);
-    this.#isEnding = true;
-    this.#answerRest();
-    await this.#answered(constants.answersWrittenWithin);
+    await this.#waitForResponses(timeoutMs);
+    this.#isStopping = true;
+    this.#answerUnfinished();
+    await this.#waitForResponses(constants.answersWrittenWithin);
     this.#countDropped();
-    await readWhatHasCome();
-    /** Before the library, which goes on listening for a while and then waits for whoever came meanwhile. */
+    await readPendingInput();
+    // Before the library stops: it keeps listening for a while and then waits for the connections accepted meanwhile.
     this.#server?.close();
     this.#server?.closeAllConnections();
     await this.#broker.stop();
   }
 
-  async #answered(patience: number): Promise<void> {
+  /** Waits until every request has its response, or until the time is over. */
+  async #waitForResponses(patience: number): Promise<void> {
     const until = performance.now() + patience;
     const isOver = (): boolean => this.underWay === 0 || performance.now() >= until;
     if (!isOver()) await settled(isOver);
   }
 
-  /** Requests that were read whole, and end without a complete answer; those of callers that read too slowly count too. */
+  /** Counts requests that were read completely but end without a complete response, also because the caller reads too slowly. */
   #countDropped(): void {
     const { address } = this.#options;
-    const dropped = this.#connections.wholeUnfinished;
+    const dropped = this.#connections.unfinishedCount;
     for (let count = 0; count < dropped; count += 1)
       invariants.violated("requestsDroppedAtStop", { address, dropped });
   }
 
-  /** A request that was not read to its end surely did not run; of any other nothing may be promised. */
-  #answerRest(): void {
+  /** An incompletely read request has certainly not run; of any other request the outcome is unknown. */
+  #answerUnfinished(): void {
     for (const { response, isWhole } of this.#connections.unanswered())
-      if (isWhole) replyTrouble(response, 504, { trouble: "unknown", reason: ENDING });
-      else refuseAtEnd(response);
+      if (isWhole) replyTrouble(response, 504, { trouble: "unknown", reason: STOPPING_REASON });
+      else refuseWhileStopping(response);
   }
 }
 
-/** Turns of the event loop: in one a connection is taken, in the next its request is read. */
-const TURNS = 3;
+/** Turns of the event loop: one accepts a connection, the next reads its request. */
+const EVENT_LOOP_TURNS = 3;
 
-/** Lets what callers have sent be read, so that it is refused: a connection that is closed with bytes unread is reset. */
-async function readWhatHasCome(): Promise<void> {
-  for (let turn = 0; turn < TURNS; turn += 1) await nextTurn();
+/** Lets the server read and refuse what callers have already sent: closing a connection with unread bytes would reset it. */
+async function readPendingInput(): Promise<void> {
+  for (let turn = 0; turn < EVENT_LOOP_TURNS; turn += 1) await nextTurn();
 }
 
-const ENDING = "this process is about to end";
+const STOPPING_REASON = "this process is about to end";
 
-/** Promises that the request does not run: nobody has heard of it, and nobody will. */
-function refuseAtEnd(response: ServerResponse): void {
+/** Replies that the request has not run: it has not been passed to any service and will not be. */
+function refuseWhileStopping(response: ServerResponse): void {
   const { retryAfter } = constants;
-  replyTrouble(response, 503, { trouble: "not-run", reason: ENDING, retryAfter });
+  replyTrouble(response, 503, { trouble: "not-run", reason: STOPPING_REASON, retryAfter });
 }
 
-function usualLimits(): CallerLimits {
+function defaultLimits(): CallerLimits {
   return callerLimits.usual;
 }
 
-function everyBody(): boolean {
+function matchEveryBody(): boolean {
   return true;
 }
--- a/packages/shell/src/incoming-connections.ts
+++ b/packages/shell/src/incoming-connections.ts
@@ -1,4 +1,4 @@
-/** Connections that other processes opened to this one (docs/design.md §10.3, §10.6). */
+/** Connections that other processes have opened to this one (docs/design.md §10.3, §10.6). */
 import type { Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { encodeFrame, FrameError, FrameReader } from "./frames.js";
@@ -11,33 +11,34 @@
   type Hello,
 } from "./wire-messages.js";
 
-/** What all connections to a process have in common. */
+/** Options shared by all connections to a process. */
 export interface IncomingOptions {
   readonly log: Log;
-  /** Version of the messages that this process speaks. */
+  /** Protocol version that this process uses. */
   readonly mark: number;
+  /** Called with each message and the address of its sender. */
   readonly receive: (message: unknown, from: string) => void;
-  /** Called with what another process says to have received on a connection from here. */
+  /** Called when another process acknowledges bytes of a connection that this process opened. */
   readonly acknowledged: (acknowledgement: CrossAcknowledgement, from: string) => void;
 }
 
-/** The connection that counts of a process that is known by its hello. */
-interface Sender {
+/** The current connection of another process, known by its hello. */
+interface PeerConnection {
   readonly hello: Hello;
   readonly socket: Socket;
-  /** Bytes that were acknowledged. */
+  /** Bytes acknowledged so far. */
   acknowledged: number;
-  /** ms, monotonic. */
+  /** Monotonic time of the last acknowledgement, in ms. */
   acknowledgedAt: number;
-  /** The last acknowledgement went with another connection and may be lost with it. */
-  acknowledgedAcross: boolean;
+  /** Whether the last acknowledgement was sent on the connection in the other direction, with which it may be lost. */
+  isCrossAcknowledgementLast: boolean;
 }
 
-/** Hands on what other processes send, from the newest connection of each alone. */
+/** Passes on the messages of other processes, from the newest connection of each only. */
 export class IncomingConnections {
   readonly #options: IncomingOptions;
   #sockets = new Set<Socket>();
-  #senders = new Map<string, Sender>();
+  #peers = new Map<string, PeerConnection>();
   /** Connections refused since the start. */
   refused = 0;
 
@@ -45,122 +46,125 @@
     this.#options = options;
   }
 
+  /** Handles a new connection; its first frame must be a hello. */
   accept(socket: Socket): void {
     const self = this;
     this.#sockets.add(socket);
     const reader = new FrameReader();
     let hello: Hello | undefined;
-    let isOver = false;
+    let isFinished = false;
     function failed(): void {
       socket.destroy();
     }
     function closed(): void {
       self.#sockets.delete(socket);
-      if (hello !== undefined && self.#senders.get(hello.from)?.socket === socket)
-        self.#senders.delete(hello.from);
+      if (hello !== undefined && self.#peers.get(hello.from)?.socket === socket)
+        self.#peers.delete(hello.from);
     }
-    function arrived(chunk: Buffer): void {
-      if (isOver) return;
+    function receive(chunk: Buffer): void {
+      if (isFinished) return;
       try {
         const messages = reader.read(chunk);
-        if (hello !== undefined)
-          self.#acknowledge(self.#senders.get(hello.from), performance.now());
+        if (hello !== undefined) self.#acknowledge(self.#peers.get(hello.from), performance.now());
         for (const message of messages) {
-          /** Refused, or replaced by a newer connection of the same process: the rest is not handed on. */
-          isOver = socket.destroyed || socket.writableEnded;
-          if (isOver) return;
-          if (hello === undefined) hello = self.#greeted(socket, message);
-          else self.#hand(message, hello.from);
+          // Refused, or replaced by a newer connection of the same process: the remaining messages are not passed on.
+          isFinished = socket.destroyed || socket.writableEnded;
+          if (isFinished) return;
+          if (hello === undefined) hello = self.#handleHello(socket, message);
+          else self.#dispatch(message, hello.from);
         }
       } catch (error) {
         if (!(error instanceof FrameError)) throw error;
         self.#options.log.error(
           { address: socket.remoteAddress, reason: error.message },
-          "a frame that cannot be read: connection ended",
+          "received an invalid frame; closing the connection",
         );
         socket.destroy();
       }
     }
     socket.on("error", failed);
     socket.once("close", closed);
-    socket.on("data", arrived);
+    socket.on("data", receive);
   }
 
+  /** Closes all connections. */
   close(): void {
     for (const socket of this.#sockets) socket.destroy();
   }
 
-  /** To be called with each beat of the process: acknowledges what came last on each connection. */
+  /** Must be called at each tick of the process; acknowledges the bytes received on each connection. */
   beat(now: number): void {
-    for (const sender of this.#senders.values()) this.#acknowledge(sender, now);
+    for (const peer of this.#peers.values()) this.#acknowledge(peer, now);
   }
 
   /**
-   * What is to be acknowledged to a process, to be sent among the messages that go there now; undefined where nothing is, or
-   * where it would not understand it. Due sooner than on the connection itself, so that one with messages both ways needs none.
+   * Returns the acknowledgement to send to a process among the messages that go there now; undefined if none is due or that process
+   * does not support it. It is due sooner than one on the connection itself, so a pair of connections that carries messages both ways
+   * needs no separate acknowledgements.
    */
   takeCrossAcknowledgement(to: string, now: number): CrossAcknowledgement | undefined {
-    const sender = this.#senders.get(to);
-    if (sender === undefined || now - sender.acknowledgedAt < constants.crossAcknowledgeEvery)
+    const peer = this.#peers.get(to);
+    if (peer === undefined || now - peer.acknowledgedAt < constants.crossAcknowledgeEvery)
       return undefined;
-    const { takesCrossAcknowledgements, life, connection } = sender.hello;
+    const { takesCrossAcknowledgements, life, connection } = peer.hello;
     if (takesCrossAcknowledgements !== true || life === undefined || connection === undefined)
       return undefined;
-    const received = sender.socket.bytesRead;
-    if (received === sender.acknowledged) return undefined;
-    markAcknowledged(sender, received, now, true);
+    const received = peer.socket.bytesRead;
+    if (received === peer.acknowledged) return undefined;
+    recordAcknowledgement(peer, received, now, true);
     return { received, life, connection };
   }
 
-  #hand(message: unknown, from: string): void {
+  #dispatch(message: unknown, from: string): void {
     const acknowledgement = readCrossAcknowledgement(message);
     if (acknowledgement === undefined) this.#options.receive(message, from);
     else this.#options.acknowledged(acknowledgement, from);
   }
 
-  /** Tells the other side how much has come, where that is more than it knows and was told long enough ago. */
-  #acknowledge(sender: Sender | undefined, now: number): void {
-    if (sender === undefined || now - sender.acknowledgedAt < constants.acknowledgeEvery) return;
-    const received = sender.socket.bytesRead;
-    if (received === sender.acknowledged && !sender.acknowledgedAcross) return;
-    markAcknowledged(sender, received, now, false);
+  /** Acknowledges on the connection itself the bytes received since the last acknowledgement, if that is long enough ago. */
+  #acknowledge(peer: PeerConnection | undefined, now: number): void {
+    if (peer === undefined || now - peer.acknowledgedAt < constants.acknowledgeEvery) return;
+    const received = peer.socket.bytesRead;
+    if (received === peer.acknowledged && !peer.isCrossAcknowledgementLast) return;
+    recordAcknowledgement(peer, received, now, false);
     const acknowledgement: Acknowledgement = { received };
-    sender.socket.write(encodeFrame(acknowledgement));
+    peer.socket.write(encodeFrame(acknowledgement));
   }
 
-  /** The hello, where the connection is taken. */
-  #greeted(socket: Socket, message: unknown): Hello | undefined {
+  /** Checks the first message of a connection; returns the hello if the connection is accepted. */
+  #handleHello(socket: Socket, message: unknown): Hello | undefined {
     const hello = readHello(message);
-    if (hello === undefined || !this.#isKnown(hello.mark)) {
+    if (hello === undefined || !this.#isCompatible(hello.mark)) {
       this.#refuse(socket, message);
       return undefined;
     }
     if (hello.connection === undefined) return hello;
-    const held = this.#senders.get(hello.from);
-    if (held !== undefined && isOlder(hello, held.hello)) {
+    const current = this.#peers.get(hello.from);
+    if (current !== undefined && isOlder(hello, current.hello)) {
       socket.destroy();
       return undefined;
     }
-    if (held !== undefined && held.hello.life !== hello.life)
+    if (current !== undefined && current.hello.life !== hello.life)
       this.#options.log.warn(
         { from: hello.from, address: socket.remoteAddress },
-        "another process says that it has this address; its connection replaces the one before",
+        "another incarnation uses this address; its connection replaces the earlier one",
       );
-    /** Its sender has given it up, and the word of that may have been lost with the rest. */
-    held?.socket.destroy();
-    const sender: Sender = {
+    // The sender has abandoned the earlier connection, and the network may have lost its reset.
+    current?.socket.destroy();
+    const peer: PeerConnection = {
       hello,
       socket,
       acknowledged: 0,
       acknowledgedAt: Number.NEGATIVE_INFINITY,
-      acknowledgedAcross: false,
+      isCrossAcknowledgementLast: false,
     };
-    this.#senders.set(hello.from, sender);
-    this.#acknowledge(sender, performance.now());
+    this.#peers.set(hello.from, peer);
+    this.#acknowledge(peer, performance.now());
     return hello;
   }
 
-  #isKnown(mark: number): boolean {
+  /** Whether messages of a protocol version can be read here. */
+  #isCompatible(mark: number): boolean {
     return mark <= this.#options.mark + 1 && mark >= constants.wireMarkOldest;
   }
 
@@ -170,20 +174,25 @@
     this.refused += 1;
     this.#options.log.error(
       { address: socket.remoteAddress, mark, own },
-      "wire mark or product not known: connection refused",
+      "unknown product or incompatible protocol version; refusing the connection",
     );
     const refused = `wire mark ${String(mark)} is not known here, which speaks ${own}`;
     socket.end(encodeFrame({ refused }));
   }
 }
 
-function markAcknowledged(sender: Sender, received: number, now: number, isAcross: boolean): void {
-  sender.acknowledged = received;
-  sender.acknowledgedAt = now;
-  sender.acknowledgedAcross = isAcross;
+function recordAcknowledgement(
+  peer: PeerConnection,
+  received: number,
+  now: number,
+  isCrossAcknowledgement: boolean,
+): void {
+  peer.acknowledged = received;
+  peer.acknowledgedAt = now;
+  peer.isCrossAcknowledgementLast = isCrossAcknowledgement;
 }
 
-/** Whether a connection was opened before another one of the same life. */
-function isOlder(hello: Hello, held: Hello): boolean {
-  return hello.life === held.life && (hello.connection ?? 0) < (held.connection ?? 0);
+/** Whether a connection was opened before the current one by the same incarnation. */
+function isOlder(hello: Hello, current: Hello): boolean {
+  return hello.life === current.life && (hello.connection ?? 0) < (current.connection ?? 0);
 }
--- a/packages/shell/src/index.ts
+++ b/packages/shell/src/index.ts
@@ -1,3 +1,4 @@
+/** Runtime shared by the daemons: disk, connections between processes, HTTP, settings, metrics and log. */
 export * from "./beat.js";
 export * from "./disk.js";
 export * from "./errors.js";
--- a/packages/shell/src/invariants.ts
+++ b/packages/shell/src/invariants.ts
@@ -1,15 +1,15 @@
-/** Counts what must never happen, as seen by this process itself; the counts stand in its status (docs/testing.md). */
+/** Counts violations of invariants that this process detects; its status reports the counts (docs/testing.md). */
 import type { Log } from "./log.js";
 
 const counts = new Map<string, number>();
 let log: Log | undefined;
 
-/** Where violations are logged from now on. */
-function reportTo(chosen: Log): void {
-  log = chosen;
+/** Sets the log to which violations are reported. */
+function reportTo(target: Log): void {
+  log = target;
 }
 
-/** Something happened that must never happen: counted, and logged the first time. */
+/** Counts a violation of an invariant, and logs the first one of each name. */
 function violated(name: string, facts: Readonly<Record<string, unknown>>): void {
   const count = (counts.get(name) ?? 0) + 1;
   counts.set(name, count);
@@ -21,7 +21,7 @@
   return Object.fromEntries(counts);
 }
 
-/** Forgets all counts, for tests. */
+/** Resets all counts, for tests. */
 function reset(): void {
   counts.clear();
 }
--- a/packages/shell/src/metrics.ts
+++ b/packages/shell/src/metrics.ts
@@ -1,8 +1,8 @@
+/** Counters and histograms of one process, reported as JSON; times are in seconds (docs/design.md §11). */
 import type { ServerResponse } from "node:http";
 import { constants } from "@chutewick/parts";
 import { Counter, Histogram, Registry } from "prom-client";
 
-/** Counts and histograms of one process, told as JSON (docs/design.md §11). Seconds throughout. */
 const registry = new Registry();
 const registers = [registry];
 
@@ -10,86 +10,86 @@
 
 const results = new Counter({
   name: "results_total",
-  help: "results told over HTTP, by event, status and kind of trouble",
+  help: "HTTP responses by event, status and error code",
   labelNames: ["event", "status", "trouble"],
   registers,
 });
 const times = new Histogram({
   name: "first_result_seconds",
-  help: "from an arrival to the first byte of its result",
+  help: "time from the arrival of a request to the first byte of its response",
   labelNames: ["event"],
   buckets,
   registers,
 });
 const waits = new Histogram({
   name: "wait_told_seconds",
-  help: "when callers were told to come back",
+  help: "retry delays sent to callers",
   labelNames: ["trouble"],
   buckets: [...constants.waitBounds],
   registers,
 });
 const syncs = new Histogram({
   name: "sync_seconds",
-  help: "one synced transaction of the data folder",
+  help: "duration of a synced transaction of the data folder",
   buckets,
   registers,
 });
-const late = new Histogram({
+const tickDelays = new Histogram({
   name: "beat_late_seconds",
-  help: "how much later than due a beat came: this process was busy or slept",
+  help: "delay of a tick beyond its due time, because the process was busy or paused",
   buckets,
   registers,
 });
 const notes = new Counter({
   name: "notes_total",
-  help: "what the cores noted: views, claims taken back and the like",
+  help: "events noted by the cores, such as new views and revoked claims",
   labelNames: ["text"],
   registers,
 });
 const changes = new Counter({
   name: "changes_total",
-  help: "operators' and nodes' inquiries to control, by outcome",
+  help: "requests of operators and nodes to control, by outcome",
   labelNames: ["outcome"],
   registers,
 });
 
-interface Begun {
+interface StartedExchange {
   readonly event: string;
   readonly at: number;
 }
 
-const begun = new WeakMap<ServerResponse, Begun>();
+const startedExchanges = new WeakMap<ServerResponse, StartedExchange>();
 
-/** An HTTP exchange begins: its time to the first byte counts from here. */
+/** Records the start of an HTTP exchange; the time to its first byte is measured from here. */
 function arrived(response: ServerResponse, event: string): void {
-  begun.set(response, { event, at: performance.now() });
+  startedExchanges.set(response, { event, at: performance.now() });
 }
 
-/** Once for each result, as its first byte goes out. */
+/** Records a response; must be called once, when its first byte is sent. */
 function resulted(response: ServerResponse, status: number, trouble = ""): void {
-  const held = begun.get(response);
-  begun.delete(response);
-  const event = held?.event ?? "none";
+  const exchange = startedExchanges.get(response);
+  startedExchanges.delete(response);
+  const event = exchange?.event ?? "none";
   results.inc({ event, status: String(status), trouble });
-  if (held !== undefined) times.observe({ event }, (performance.now() - held.at) / 1_000);
+  if (exchange !== undefined) times.observe({ event }, (performance.now() - exchange.at) / 1_000);
 }
 
-/** A wait in seconds was told with a refusal of this kind. */
-function waitTold(trouble: string, seconds: number): void {
+/** Records a retry delay in seconds that was sent with an error. */
+function retryAfterSent(trouble: string, seconds: number): void {
   waits.observe({ trouble }, seconds);
 }
 
-/** One synced transaction took this long. */
-function synced(milliseconds: number): void {
+/** Records the duration of one synced transaction. */
+function committed(milliseconds: number): void {
   syncs.observe(milliseconds / 1_000);
 }
 
-/** A beat came so many ms after it was due. */
-function beatCame(lateBy: number): void {
-  late.observe(Math.max(0, lateBy) / 1_000);
+/** Records a tick that came so many ms after it was due. */
+function tickStarted(lateBy: number): void {
+  tickDelays.observe(Math.max(0, lateBy) / 1_000);
 }
 
-/** Counts something that a core noted, by its text. */
+/** Counts an event noted by a core, by its text. */
 function noted(text: string): void {
   notes.inc({ text });
 }
@@ -99,7 +99,7 @@
   changes.inc({ outcome });
 }
 
-/** One number that the registry tells; `le` is the bound of a histogram's bucket. */
+/** One value of the registry; the label `le` is the upper bound of a histogram bucket. */
 interface Sample {
   readonly value: number;
   readonly metricName?: string;
@@ -112,7 +112,7 @@
   sum?: number;
 }
 
-/** A series is named by those of its labels that are set, `le` apart. */
+/** Names a series by its non-empty labels other than `le`. */
 function seriesName({ labels: { le: _bound, ...labels } }: Sample): string {
   const names: string[] = [];
   for (const [key, text] of Object.entries(labels)) if (text !== "") names.push(`${key}=${text}`);
@@ -137,15 +137,24 @@
   return series;
 }
 
-/** Counters as numbers, histograms as count, sum and the share within each bound; gauges as the caller gives them. */
+/** Reads all metrics: counters as numbers; histograms as count, sum and the count within each bound; gauges as given by the caller. */
 async function read(gauges: Readonly<Record<string, unknown>>): Promise<Record<string, unknown>> {
-  const told: Record<string, unknown> = {};
+  const figures: Record<string, unknown> = {};
   for (const metric of await registry.getMetricsAsJSON()) {
     const samples = metric.values as Sample[];
-    told[metric.name] =
+    figures[metric.name] =
       String(metric.type) === "histogram" ? histogramSeries(samples) : plainSeries(samples);
   }
-  return { ...told, ...gauges };
+  return { ...figures, ...gauges };
 }
 
-export const metrics = { arrived, resulted, waitTold, synced, beatCame, noted, changed, read };
+export const metrics = {
+  arrived,
+  resulted,
+  retryAfterSent,
+  committed,
+  tickStarted,
+  noted,
+  changed,
+  read,
+};
--- a/packages/shell/src/outgoing-connection.ts
+++ b/packages/shell/src/outgoing-connection.ts
@@ -1,4 +1,4 @@
-/** A process's own connection to another process, replaced where it stalls (docs/design.md §10.3). */
+/** A connection that this process opens to another one and replaces when it stalls (docs/design.md §10.3). */
 import { connect, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { ConnectionProgress } from "./connection-progress.js";
@@ -8,27 +8,28 @@
 import type { Log } from "./log.js";
 import { isAcknowledgement, type CrossAcknowledgement, type Hello } from "./wire-messages.js";
 
-/** ms. Something is wrong here where messages are sent for so long and nothing is heard. */
-const UNANSWERED_MOST = 2 * (constants.acknowledgeEvery + constants.acknowledgementPatience);
+/** Longest time in ms in which messages may be sent on a connection without any acknowledgement. */
+const MAX_UNANSWERED_MS = 2 * (constants.acknowledgeEvery + constants.acknowledgementPatience);
 
-/** What all connections of a process have in common. */
+/** Options shared by all outgoing connections of a process. */
 export interface OutgoingOptions {
   readonly log: Log;
-  /** IP that connections come from. */
+  /** Local IP address of the connections. */
   readonly localAddress: string;
-  /** The first frame of the connection with a number. */
+  /** Returns the first frame of the connection with the given number. */
   readonly hello: (connection: number) => Hello;
   readonly counts: ConnectionCounts;
-  /** What is to be acknowledged to another process among the messages that go there now. */
+  /** Returns the acknowledgement to send to a process among the messages that go there now, if one is due. */
   readonly takeCrossAcknowledgement: (to: string) => CrossAcknowledgement | undefined;
 }
 
-/** Outgoing connections of a process since its start. */
+/** Counts of the outgoing connections of a process since its start. */
 export interface ConnectionCounts {
+  /** Established connections. */
   opened: number;
-  /** Closed by whichever side, or never come up. */
+  /** Connections closed by either side, or never established. */
   lost: number;
-  /** Of these, closed here because they carried nothing any more. */
+  /** Lost connections that were closed here because they had stalled. */
   stalled: number;
 }
 
@@ -38,20 +39,20 @@
   readonly progress: ConnectionProgress;
 }
 
-/** Opens a connection with the first message, and another after one that was lost or has stalled. */
+/** Connects when the first message is sent, and reconnects after a connection was lost or has stalled. */
 export class OutgoingConnection {
   readonly #to: string;
   readonly #options: OutgoingOptions;
-  #open: OpenSocket | undefined;
+  #connection: OpenSocket | undefined;
   #retryAt = 0;
-  #number = 0;
-  /** The other process acknowledges what it receives; earlier releases do not. */
-  #acknowledges = false;
-  /** Connections in a row that came up and whose hello was not answered in time. */
+  #connectionNumber = 0;
+  /** Whether the other process is known to acknowledge received bytes; earlier releases do not. */
+  #peerAcknowledges = false;
+  /** Consecutive established connections whose hello was not acknowledged in time. */
   #unansweredHellos = 0;
   #wasConnected = false;
-  /** ms in which this process ran and had something to send, since the other one answered on this connection. */
-  #unansweredFor = 0;
+  /** Time in ms in which this process was running and had messages to send, since the last acknowledgement on this connection. */
+  #unansweredMs = 0;
   #hadMessages = false;
 
   constructor(to: string, options: OutgoingOptions) {
@@ -59,11 +60,11 @@
     this.#options = options;
   }
 
-  /** Best effort; false where the message was dropped. A connection that is not there is opened. */
+  /** Best effort: returns false if the message was dropped. Connects if there is no connection. */
   send(message: unknown): boolean {
-    if (this.#open === undefined && performance.now() >= this.#retryAt) this.#connect();
-    if (this.#open === undefined) return false;
-    const { batch } = this.#open;
+    if (this.#connection === undefined && performance.now() >= this.#retryAt) this.#connect();
+    if (this.#connection === undefined) return false;
+    const { batch } = this.#connection;
     this.#hadMessages = true;
     if (batch.unsentBytes > constants.wireBacklog) return false;
     const acknowledgement = this.#options.takeCrossAcknowledgement(this.#to);
@@ -72,48 +73,52 @@
     return true;
   }
 
-  /** Some ms have passed in which this process ran: a connection that carries nothing any more is closed, so that the next message opens another. */
+  /**
+   * Records that this process was running for some time. Closes the connection if it has stalled, so that the next message opens
+   * another one.
+   */
   elapse(milliseconds: number): void {
-    if (this.#open === undefined || this.#open.socket.connecting) return;
-    const { socket, progress } = this.#open;
+    if (this.#connection === undefined || this.#connection.socket.connecting) return;
+    const { socket, progress } = this.#connection;
     progress.elapse(milliseconds, socket.bytesWritten);
     this.#checkAnswers(milliseconds);
-    if (progress.hasExpired) this.#replace(socket, progress);
+    if (progress.hasExpired) this.#closeStalled(socket, progress);
   }
 
-  /** The other process says how many bytes it has received on the connection with a number. */
+  /** Handles an acknowledgement that the other process sent on a connection of its own. */
   crossAcknowledged({ connection, received }: CrossAcknowledgement): void {
-    if (this.#open === undefined || connection !== this.#number) return;
-    this.#acknowledged(received, this.#open.progress);
+    if (this.#connection === undefined || connection !== this.#connectionNumber) return;
+    this.#handleAcknowledgement(received, this.#connection.progress);
   }
 
-  #acknowledged(received: number, progress: ConnectionProgress): void {
-    this.#acknowledges = true;
+  #handleAcknowledgement(received: number, progress: ConnectionProgress): void {
+    this.#peerAcknowledges = true;
     this.#unansweredHellos = 0;
-    this.#heard();
+    this.#resetUnanswered();
     progress.acknowledged(received);
   }
 
+  /** Writes the pending frames and closes the connection. */
   close(): void {
-    this.#open?.batch.flush();
-    this.#open?.socket.destroy();
+    this.#connection?.batch.flush();
+    this.#connection?.socket.destroy();
   }
 
-  /** Invariant: whatever the progress says, nothing is sent for long on a connection of which nothing is heard. */
+  /** Checks an invariant independently of the progress: no connection is used for long without any acknowledgement. */
   #checkAnswers(milliseconds: number): void {
-    if (!this.#acknowledges || !this.#hadMessages) return;
-    this.#unansweredFor += milliseconds;
-    if (this.#unansweredFor < UNANSWERED_MOST) return;
-    invariants.violated("connection-stalled", { to: this.#to, unansweredFor: this.#unansweredFor });
-    this.#unansweredFor = 0;
+    if (!this.#peerAcknowledges || !this.#hadMessages) return;
+    this.#unansweredMs += milliseconds;
+    if (this.#unansweredMs < MAX_UNANSWERED_MS) return;
+    invariants.violated("connection-stalled", { to: this.#to, unansweredFor: this.#unansweredMs });
+    this.#unansweredMs = 0;
   }
 
-  #replace(socket: Socket, progress: ConnectionProgress): void {
+  #closeStalled(socket: Socket, progress: ConnectionProgress): void {
     this.#options.counts.stalled += 1;
-    this.#options.log.warn({ to: this.#to }, "connection to another process stalled; replaced");
+    this.#options.log.warn({ to: this.#to }, "connection to another process stalled; closing it");
     if (!progress.hasAnswered) this.#unansweredHellos += 1;
-    if (this.#unansweredHellos >= constants.unansweredHellos) this.#acknowledges = false;
-    /** A reset takes back what the kernel has not delivered: it must not arrive after what the next connection brings. */
+    if (this.#unansweredHellos >= constants.unansweredHellos) this.#peerAcknowledges = false;
+    // A reset discards what the kernel has not delivered, so that it cannot arrive after messages of the next connection.
     socket.resetAndDestroy();
     this.#closed(socket);
   }
@@ -127,22 +132,22 @@
       localAddress: this.#options.localAddress,
       noDelay: true,
     });
-    const progress = new ConnectionProgress(this.#acknowledges);
+    const progress = new ConnectionProgress(this.#peerAcknowledges);
     const batch = new FrameBatch(socket);
-    this.#open = { socket, batch, progress };
-    this.#number += 1;
-    this.#heard();
-    /** Written before the connection stands: what is sent meanwhile waits behind it, for this short time. */
-    batch.add(encodeFrame(this.#options.hello(this.#number)));
-    function giveUp(): void {
+    this.#connection = { socket, batch, progress };
+    this.#connectionNumber += 1;
+    this.#resetUnanswered();
+    // Written before the connection is established; messages sent meanwhile are buffered behind it.
+    batch.add(encodeFrame(this.#options.hello(this.#connectionNumber)));
+    function abortConnect(): void {
       if (socket.connecting) socket.destroy();
     }
-    const patience = setTimeout(giveUp, constants.connectPatience);
+    const connectTimeout = setTimeout(abortConnect, constants.connectPatience);
     function connected(): void {
       self.#connected();
     }
     function closed(): void {
-      clearTimeout(patience);
+      clearTimeout(connectTimeout);
       self.#closed(socket);
     }
     function failed(): void {
@@ -162,8 +167,8 @@
   }
 
   #closed(socket: Socket): void {
-    if (this.#open?.socket !== socket) return;
-    this.#open = undefined;
+    if (this.#connection?.socket !== socket) return;
+    this.#connection = undefined;
     this.#retryAt = performance.now() + constants.reconnectAfter;
     this.#options.counts.lost += 1;
     if (this.#wasConnected)
@@ -171,33 +176,36 @@
     this.#wasConnected = false;
   }
 
-  #heard(): void {
-    this.#unansweredFor = 0;
+  #resetUnanswered(): void {
+    this.#unansweredMs = 0;
     this.#hadMessages = false;
   }
 
   #readAnswers(socket: Socket, progress: ConnectionProgress): void {
     const self = this;
     const reader = new FrameReader();
-    function arrived(chunk: Buffer): void {
+    function receive(chunk: Buffer): void {
       try {
-        for (const answer of reader.read(chunk)) self.#answered(answer, progress);
+        for (const answer of reader.read(chunk)) self.#handleAnswer(answer, progress);
       } catch (error) {
         self.#options.log.error(
           { to: self.#to, reason: (error as Error).message },
-          "an answer on a connection cannot be read: connection ended",
+          "received an invalid frame; closing the connection",
         );
         socket.destroy();
       }
     }
-    socket.on("data", arrived);
+    socket.on("data", receive);
   }
 
-  #answered(answer: unknown, progress: ConnectionProgress): void {
+  #handleAnswer(answer: unknown, progress: ConnectionProgress): void {
     if (isAcknowledgement(answer)) {
-      this.#acknowledged(answer.received, progress);
+      this.#handleAcknowledgement(answer.received, progress);
       return;
     }
-    this.#options.log.error({ to: this.#to, message: answer }, "refused by the other process");
+    this.#options.log.error(
+      { to: this.#to, message: answer },
+      "the other process refused the connection",
+    );
   }
 }
--- a/packages/shell/src/program.ts
+++ b/packages/shell/src/program.ts
@@ -1,3 +1,4 @@
+/** Start and stop of a daemon: flags, validated settings, signals (docs/design.md §10). */
 import type { DiskCondition, Outcome } from "@chutewick/parts";
 import { option, optional, string } from "cmd-ts";
 import { StartError } from "./errors.js";
@@ -8,7 +9,7 @@
 import type { Wire } from "./wire.js";
 import type { DiskListener } from "./disk.js";
 
-/** What the three daemons have in common: flags, checked settings, stop on a signal (docs/design.md §10). */
+/** Command-line flags of the three daemons. */
 export const flags = {
   settings: option({
     type: optional(string),
@@ -45,12 +46,12 @@
   }),
 };
 
-/** A running process of the fleet. */
+/** A running daemon. */
 export interface Daemon {
   close(): Promise<void>;
 }
 
-/** Bad settings end the program with 2, a start that cannot succeed with 1, a planned stop with 0. */
+/** Reads the settings and starts a daemon. Exit status: 2 for invalid settings, 1 for a failed start, 0 for a planned stop. */
 export async function run(
   program: string,
   needsData: boolean,
@@ -65,7 +66,7 @@
   await start(program, checked.value, open);
 }
 
-/** Opens a daemon with settings that are checked already, and ends it in order on a signal. */
+/** Starts a daemon with validated settings, and stops it in an orderly way on a signal. */
 export async function start(
   program: string,
   checked: Settings,
@@ -83,12 +84,12 @@
     log.info({ violations: invariants.counts() }, "stopped");
     process.exit(0);
   }
-  /** Settings changed: what is kept open stays; addresses of control machines are learnt from control itself (§10.1). */
-  function changed(): void {
+  // A reload keeps everything open: the addresses of control machines are learnt from control itself.
+  function logReload(): void {
     log.info({}, "settings may have changed");
   }
-  /** Before it opens anything: without a handler each of them ends the process. */
-  process.on("SIGHUP", changed);
+  // Installed before anything is opened: without a handler, each of these signals ends the process.
+  process.on("SIGHUP", logReload);
   process.on("SIGTERM", (signal) => void stop(signal));
   process.on("SIGINT", (signal) => void stop(signal));
   const opened = await open(checked, log);
@@ -100,7 +101,7 @@
   daemon = opened.value;
 }
 
-/** Opens what a daemon listens on; the reason where that cannot be done. */
+/** Opens the sockets on which a daemon listens; returns the reason if that fails. */
 export async function listen(wire: Wire, gateway: Gateway): Promise<string | undefined> {
   try {
     await wire.open();
@@ -111,16 +112,19 @@
   return undefined;
 }
 
-/** Logs what becomes of a process's disk, and passes on its condition. */
+/** Logs changes in the condition of a disk and passes them on. */
 export function diskListener(log: Log, changed: (condition: DiskCondition) => void): DiskListener {
-  function tellChange(condition: DiskCondition, error: Error | undefined): void {
+  function reportChange(condition: DiskCondition, error: Error | undefined): void {
     const facts = { condition, ...(error === undefined ? {} : { error: error.message }) };
     if (condition === "writable") log.info({}, "the data folder can be written again");
-    else log.error(facts, "the data folder cannot be written; its chains are left until it can");
+    else log.error(facts, "the data folder cannot be written; leaving its chains until it can be");
     changed(condition);
   }
   function waiting(reason: string): void {
-    log.error({ reason }, "the data folder cannot be written yet; the start waits");
+    log.error(
+      { reason },
+      "the data folder cannot be written yet; retrying before the start continues",
+    );
   }
-  return { changed: tellChange, waiting };
+  return { changed: reportChange, waiting };
 }
--- a/packages/shell/src/read-errors.ts
+++ b/packages/shell/src/read-errors.ts
@@ -1,8 +1,9 @@
+/** Responses to requests that the HTTP parser could not read. */
 import type { Duplex } from "node:stream";
 import type { CallerConnections } from "./caller-connections.js";
 import { reply, type TroubleBody } from "./reply.js";
 
-/** An error of the HTTP parser or of the timers over it. */
+/** An error of the HTTP parser or of its timeouts. */
 export type ReadError = Error & { readonly code?: string };
 
 interface Refusal {
@@ -17,6 +18,7 @@
   431: "Request Header Fields Too Large",
 } as const;
 
+/** The response to an error of the HTTP parser. */
 function refusalOf(error: ReadError): Refusal {
   switch (error.code) {
     case "ERR_HTTP_REQUEST_TIMEOUT":
@@ -39,8 +41,8 @@
   }
 }
 
-/** What is not HTTP, or comes too slowly, gets a definite status too, but never in the place of an earlier request's answer. */
-export function refuseUnread(
+/** Replies with a definite status to input that is not HTTP or arrives too slowly, but never in place of an earlier request's response. */
+export function refuseUnreadable(
   connections: CallerConnections,
   error: ReadError,
   socket: Duplex,
@@ -49,10 +51,10 @@
     socket.destroy();
     return;
   }
-  const unread = connections.endUnread(socket);
-  if (unread.kind === "silent") return;
+  const result = connections.endAfterUnreadRequest(socket);
+  if (result.kind === "silent") return;
   const { status, body } = refusalOf(error);
-  if (unread.kind === "own-response") return reply(unread.response, status, body);
+  if (result.kind === "own-response") return reply(result.response, status, body);
   const text = JSON.stringify(body);
   socket.end(
     `HTTP/1.1 ${status} ${statusTexts[status]}\r\ncontent-type: application/json; charset=utf-8\r\ncontent-length: ${Buffer.byteLength(text)}\r\nconnection: close\r\n\r\n${text}`,
--- a/packages/shell/src/reply.ts
+++ b/packages/shell/src/reply.ts
@@ -1,15 +1,19 @@
+/** JSON responses over HTTP. */
 import type { ServerResponse } from "node:http";
 import { metrics } from "./metrics.js";
 
-/** Every trouble told over HTTP has this one shape (docs/interface.md). */
+/** Body of every error response (docs/interface.md). */
 export interface TroubleBody {
+  /** Code of the error. */
   readonly trouble: string;
+  /** Description for people. */
   readonly reason: string;
+  /** Seconds after which the caller should retry. */
   readonly retryAfter?: number;
   readonly [more: string]: unknown;
 }
 
-/** Answers with a JSON body, once: nothing happens where an answer was begun or the caller is gone. */
+/** Sends a JSON response; does nothing if a response was already started or the caller has disconnected. */
 export function reply(
   to: ServerResponse,
   status: number,
@@ -27,10 +31,10 @@
   to.end(text);
 }
 
-/** Answers with a trouble; `retryAfter` (s) also goes into its header, in whole seconds. */
+/** Sends an error response; `retryAfter` in seconds is also sent as a header, rounded up to whole seconds. */
 export function replyTrouble(to: ServerResponse, status: number, body: TroubleBody): void {
   const headers: Record<string, string> = {};
-  if (body.retryAfter !== undefined) metrics.waitTold(body.trouble, body.retryAfter);
+  if (body.retryAfter !== undefined) metrics.retryAfterSent(body.trouble, body.retryAfter);
   if (body.retryAfter !== undefined)
     headers["retry-after"] = String(Math.max(1, Math.ceil(body.retryAfter)));
   reply(to, status, body, headers);
--- a/packages/shell/src/settings.ts
+++ b/packages/shell/src/settings.ts
@@ -1,3 +1,4 @@
+/** Settings of a process, from a file and command-line flags (docs/design.md §10.1). */
 import { readFileSync } from "node:fs";
 import { isIP } from "node:net";
 import {
@@ -10,12 +11,16 @@
 } from "@chutewick/parts";
 import { z } from "zod";
 
-/** An IPv4 number and a port. */
+/** Whether a text is an IPv4 address with a port. */
 function isAddress(text: string): boolean {
-  const cut = text.lastIndexOf(":");
-  const port = Number(text.slice(cut + 1));
+  const separator = text.lastIndexOf(":");
+  const port = Number(text.slice(separator + 1));
   return (
-    cut > 0 && isIP(text.slice(0, cut)) === 4 && Number.isInteger(port) && port > 0 && port < 65_536
+    separator > 0 &&
+    isIP(text.slice(0, separator)) === 4 &&
+    Number.isInteger(port) &&
+    port > 0 &&
+    port < 65_536
   );
 }
 
@@ -27,84 +32,89 @@
   return new Set(texts).size === texts.length;
 }
 
-const span = z.number().min(0);
+const nonNegative = z.number().min(0);
 
-const bounds = z
+const boundsSchema = z
   .strictObject({
-    reportsEvery: span,
-    contactWithin: span,
-    acknowledgeWithin: span,
-    drainWithin: span,
-    applyWithin: span,
-    cancelWithin: span,
-    stopWithin: span,
-    syncWithin: span,
-    recoverWithin: span,
-    losses: z.strictObject({ machines: span, zones: span.default(0), regions: span.default(0) }),
-    memory: span.default(512),
-    descriptors: span.default(1_024),
-    disk: span.default(0),
+    reportsEvery: nonNegative,
+    contactWithin: nonNegative,
+    acknowledgeWithin: nonNegative,
+    drainWithin: nonNegative,
+    applyWithin: nonNegative,
+    cancelWithin: nonNegative,
+    stopWithin: nonNegative,
+    syncWithin: nonNegative,
+    recoverWithin: nonNegative,
+    losses: z.strictObject({
+      machines: nonNegative,
+      zones: nonNegative.default(0),
+      regions: nonNegative.default(0),
+    }),
+    memory: nonNegative.default(512),
+    descriptors: nonNegative.default(1_024),
+    disk: nonNegative.default(0),
     goesOnAlone: z.boolean().default(false),
     usageWindow: z.number().positive().optional(),
   })
-  .superRefine(isHeld);
+  .superRefine(checkBounds);
 
-const duties = z
+const dutiesSchema = z
   .strictObject({
     kinds: z.array(z.enum(["usage", "scaling"])),
     callsPerSecond: z.number().positive(),
-    lease: span,
-    thawSlack: span.default(0),
+    lease: nonNegative,
+    thawSlack: nonNegative.default(0),
     window: z.number().positive(),
     reportWithin: z.number().positive(),
   })
-  .refine(hasLease, {
+  .refine(isLeaseLongerThanSlack, {
     error: "the lease must be longer than the slack of a thaw",
     path: ["lease"],
   });
 
-function hasLease({ lease, thawSlack }: DutyBounds): boolean {
+function isLeaseLongerThanSlack({ lease, thawSlack }: DutyBounds): boolean {
   return lease > thawSlack;
 }
 
-/** The reasons for which a combination of bounds cannot hold, as findings of the settings. */
-function isHeld(value: Bounds, context: { addIssue(issue: string): void }): void {
-  const worked = policy.from(value);
-  if (!worked.ok) context.addIssue(worked.reason);
+/** Reports the reason why a combination of bounds is impossible as an issue of the settings. */
+function checkBounds(value: Bounds, context: { addIssue(issue: string): void }): void {
+  const derived = policy.from(value);
+  if (!derived.ok) context.addIssue(derived.reason);
 }
 
-const shape = z.strictObject({
+const settingsSchema = z.strictObject({
   name: z
     .string()
     .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, { error: "must be lower-case letters, digits and dashes" }),
   zone: z
     .string()
     .regex(/^[a-z0-9][a-z0-9-]{0,62}$/, { error: "must be lower-case letters, digits and dashes" }),
-  /** Where other processes of the fleet reach this one. */
+  /** Address at which other processes of the deployment reach this one. */
   wire: address,
-  /** Where it listens, if something stands between. */
+  /** Address to listen on, if it differs from `wire`. */
   wireListen: address.optional(),
-  /** Where callers, runners or operators reach it. */
+  /** Address for callers, runners and operators. */
   http: address,
+  /** Addresses of control machines to contact first. */
   seeds: z
     .array(address)
     .min(1, { error: "must be addresses of control machines" })
     .refine(areDifferent, { error: "must be different addresses" }),
-  /** True only at the very first start, with empty folders: a blank machine that comes later founds nothing (§2.2). */
+  /** True only at the very first start, with empty folders; a machine that joins empty later founds no group (docs/design.md §2.2). */
   founding: z.boolean().default(true),
-  /** What the deployment tells of itself, where it has bounds of its own (§13.3). */
-  bounds: bounds.optional(),
-  /** Duties at the deployment's platform, where it has any (§14). */
-  duties: duties.optional(),
+  /** Bounds specific to the deployment (docs/design.md §13.3). */
+  bounds: boundsSchema.optional(),
+  /** Duties that this deployment performs at its platform (docs/design.md §14). */
+  duties: dutiesSchema.optional(),
   /** Data folder; access nodes have none. */
   data: z.string().min(1).optional(),
   logLevel: z.enum(["trace", "debug", "info", "warn", "error", "fatal"]).default("info"),
 });
 
-/** Where a process stands: addresses, zone, seeds, data folder (docs/design.md §10.1). */
-export type Settings = z.infer<typeof shape>;
+/** Settings of a process: addresses, zone, seeds, data folder and more. */
+export type Settings = z.infer<typeof settingsSchema>;
 
-/** Settings as given on the command line; each overrides the file's. */
+/** Settings from the command line; each overrides the one in the file. */
 export interface Flags {
   readonly settings?: string;
   readonly name?: string;
@@ -128,24 +138,24 @@
   }
 }
 
-/** Flags win over the file; everything is checked before anything starts. */
+/** Reads and validates the settings file and the flags; flags override the file. */
 function read(flags: Flags, needsData: boolean): Outcome<Settings> {
-  let held: Record<string, unknown> = {};
+  let values: Record<string, unknown> = {};
   if (flags.settings !== undefined) {
     const file = readFile(flags.settings);
     if (!file.ok) return file;
-    held = file.value;
+    values = file.value;
   }
   const { settings: _file, seeds, ...rest } = flags;
-  for (const [key, value] of Object.entries(rest)) if (value !== undefined) held[key] = value;
-  if (seeds !== undefined) held["seeds"] = seeds.split(",");
-  const checked = check(held);
+  for (const [key, value] of Object.entries(rest)) if (value !== undefined) values[key] = value;
+  if (seeds !== undefined) values["seeds"] = seeds.split(",");
+  const checked = check(values);
   if (checked.ok && needsData && checked.value.data === undefined)
     return outcome.bad("data: is needed here");
   return checked;
 }
 
-/** One line with path and reason for each finding. */
+/** Path and reason of each issue, separated by semicolons. */
 export function explain(error: z.ZodError): string {
   const lines: string[] = [];
   for (const issue of error.issues)
@@ -153,16 +163,16 @@
   return lines.join("; ");
 }
 
-/** What holds here: from the deployment's bounds, or the usual. */
-function policyOf(held: Settings): Policy {
-  if (held.bounds === undefined) return policy.usual;
-  const worked = policy.from(held.bounds);
-  return worked.ok ? worked.value : policy.usual;
+/** The policy derived from the bounds of the deployment, or the default policy. */
+function policyOf(checked: Settings): Policy {
+  if (checked.bounds === undefined) return policy.usual;
+  const derived = policy.from(checked.bounds);
+  return derived.ok ? derived.value : policy.usual;
 }
 
-/** Settings that come from elsewhere than a file of our own: checked in the same way. */
+/** Validates settings, wherever they come from. */
 function check(input: unknown): Outcome<Settings> {
-  const checked = shape.safeParse(input);
+  const checked = settingsSchema.safeParse(input);
   return checked.success ? outcome.good(checked.data) : outcome.bad(explain(checked.error));
 }
 
--- a/packages/shell/src/whole-request.ts
+++ b/packages/shell/src/whole-request.ts
@@ -1,68 +1,70 @@
+/** Reads requests with their raw bodies, within the limits for callers. */
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerLimits } from "@chutewick/parts";
-import { headerBytesOf } from "./caller-timing.js";
+import { headerSizeOf } from "./caller-timing.js";
 import { replyTrouble } from "./reply.js";
 
-/** An arrival with its bytes as they came, for interfaces that pass them on (§13.2). */
+/** A request with its unchanged bytes, for interfaces that forward it (docs/design.md §13.2). */
 export interface WholeArrival {
   readonly method: string;
-  /** Path with its query, unchanged. */
+  /** Path and query, unchanged. */
   readonly path: string;
-  /** Names and values in turn. */
+  /** Alternating names and values. */
   readonly rawHeaders: readonly string[];
   readonly headers: IncomingMessage["headers"];
   readonly body: Buffer;
+  /** Response to be written. */
   readonly reply: ServerResponse;
 }
 
-/** Reads a whole request, then hands it on at once. Past the limits the answer is 431 or 413, at once; the rest is read and dropped. */
+/** Reads a whole request and passes it on. Beyond the limits it replies 431 or 413 at once and discards the rest of the request. */
 export function readWhole(
   incoming: IncomingMessage,
   response: ServerResponse,
   limits: CallerLimits,
-  taken: (arrival: WholeArrival) => void,
+  accept: (arrival: WholeArrival) => void,
 ): void {
   const chunks: Buffer[] = [];
   let size = 0;
   let refused = false;
-  function refuse(status: Refused): void {
+  function refuse(status: RefusalStatus): void {
     refused = true;
     chunks.length = 0;
-    refuseWhole(response, status, limits);
+    replyWithRefusal(response, status, limits);
   }
-  function arrived(chunk: Buffer): void {
+  function receive(chunk: Buffer): void {
     if (refused) return;
     size += chunk.length;
     chunks.push(chunk);
     if (size > limits.bodyBytes) refuse(413);
   }
-  function ended(): void {
-    /** One that was answered already was promised not to run. */
+  function finish(): void {
+    // If a response was already sent, it said that the request does not run.
     if (!refused && !response.headersSent)
-      taken(arrivalOf(incoming, response, Buffer.concat(chunks, size)));
+      accept(requestOf(incoming, response, Buffer.concat(chunks, size)));
   }
   function failed(): void {
     response.destroy();
   }
-  incoming.on("data", arrived);
-  incoming.once("end", ended);
+  incoming.on("data", receive);
+  incoming.once("end", finish);
   incoming.once("error", failed);
-  const status = refusalOfHead(incoming, limits);
+  const status = checkHeaders(incoming, limits);
   if (status !== undefined) refuse(status);
 }
 
-type Refused = 400 | 413 | 431;
+type RefusalStatus = 400 | 413 | 431;
 
-/** What the headers alone say against a request. */
-function refusalOfHead(incoming: IncomingMessage, limits: CallerLimits): Refused | undefined {
-  if (headerBytesOf(incoming.rawHeaders) > limits.headerBytes) return 431;
-  /** Whoever read it by another of its hosts would send it elsewhere (RFC 9112, section 3.2). */
+/** Checks a request by its headers alone; returns the status with which it is refused, if it is. */
+function checkHeaders(incoming: IncomingMessage, limits: CallerLimits): RefusalStatus | undefined {
+  if (headerSizeOf(incoming.rawHeaders) > limits.headerBytes) return 431;
+  // With several Host headers, another reader might route the request elsewhere (RFC 9112, section 3.2).
   if (incoming.headersDistinct["host"]?.length !== 1) return 400;
   if (Number(incoming.headers["content-length"] ?? 0) > limits.bodyBytes) return 413;
   return undefined;
 }
 
-function arrivalOf(incoming: IncomingMessage, reply: ServerResponse, body: Buffer): WholeArrival {
+function requestOf(incoming: IncomingMessage, reply: ServerResponse, body: Buffer): WholeArrival {
   return {
     method: incoming.method ?? "GET",
     path: incoming.url ?? "/",
@@ -73,7 +75,11 @@
   };
 }
 
-function refuseWhole(response: ServerResponse, status: Refused, limits: CallerLimits): void {
+function replyWithRefusal(
+  response: ServerResponse,
+  status: RefusalStatus,
+  limits: CallerLimits,
+): void {
   const bodies = {
     400: { trouble: "bad-inquiry", reason: "there must be one Host" },
     413: {
--- a/packages/shell/src/wire-messages.ts
+++ b/packages/shell/src/wire-messages.ts
@@ -1,7 +1,7 @@
-/** What processes say to each other about their connection itself (docs/design.md §10.3, §10.6). */
+/** Messages that processes exchange about a connection itself: hello and acknowledgements (docs/design.md §10.3, §10.6). */
 import { z } from "zod";
 
-const hello = z.object({
+const helloSchema = z.object({
   product: z.literal("chutewick"),
   mark: z.number(),
   from: z.string(),
@@ -13,37 +13,38 @@
 /** The first frame of a connection. */
 export interface Hello {
   readonly product: "chutewick";
-  /** Version of the messages that follow. */
+  /** Protocol version of the messages that follow. */
   readonly mark: number;
   /** Address of the process that opened the connection. */
   readonly from: string;
-  /** Differs with each start of that process; absent in releases that know no acknowledgements. */
+  /** Incarnation: differs at each start of that process; absent in releases without acknowledgements. */
   readonly life?: string | undefined;
-  /** Rises with each connection of that life to the same process. */
+  /** Increases with each connection that this incarnation opens to the same process. */
   readonly connection?: number | undefined;
-  /** Whether that process reads acknowledgements of its connections on those that it accepts, too. */
+  /** Whether that process also reads acknowledgements of its own connections on the connections that it accepts. */
   readonly takesCrossAcknowledgements?: boolean | undefined;
 }
 
-/** The only answer on a connection that was taken: bytes received on it so far. */
+/** The only reply on an accepted connection. */
 export interface Acknowledgement {
+  /** Bytes received on the connection so far. */
   readonly received: number;
 }
 
-/** The same among the messages of the connection in the other direction, so that it costs no packet of its own. */
+/** An acknowledgement sent among the messages of the connection in the other direction, so that it needs no packet of its own. */
 export interface CrossAcknowledgement extends Acknowledgement {
-  /** Of the process that opened the acknowledged connection, as its hello told. */
+  /** Incarnation of the process that opened the acknowledged connection, from its hello. */
   readonly life: string;
-  /** Number of the acknowledged connection in that life. */
+  /** Number of the acknowledged connection within that incarnation. */
   readonly connection: number;
 }
 
-/** The hello that a frame brings, whatever its version; undefined where it is none. */
+/** Parses a hello of any version; undefined if the message is not one. */
 export function readHello(message: unknown): Hello | undefined {
-  return hello.safeParse(message).data;
+  return helloSchema.safeParse(message).data;
 }
 
-/** The acknowledgement that a frame among messages brings; undefined where it is a message. */
+/** Parses an acknowledgement sent among messages; undefined for any other message. */
 export function readCrossAcknowledgement(message: unknown): CrossAcknowledgement | undefined {
   if (!isAcknowledgement(message)) return undefined;
   const { received, life, connection } = message as Partial<CrossAcknowledgement>;
@@ -52,7 +53,7 @@
   return { received, life, connection };
 }
 
-/** Whether a frame acknowledges bytes. */
+/** Whether a message acknowledges received bytes. */
 export function isAcknowledgement(message: unknown): message is Acknowledgement {
   return typeof (message as Partial<Acknowledgement> | null)?.received === "number";
 }
--- a/packages/shell/src/wire.ts
+++ b/packages/shell/src/wire.ts
@@ -1,4 +1,4 @@
-/** Messages between the fleet's own processes: framed msgpack over TCP, each side sending on its own connection (docs/design.md §10.3). */
+/** Messages between the processes of a deployment: framed msgpack over TCP, each side sending on its own connection (docs/design.md §10.3). */
 import { randomUUID } from "node:crypto";
 import { createServer, type Server, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
@@ -11,16 +11,19 @@
 } from "./outgoing-connection.js";
 import type { CrossAcknowledgement, Hello } from "./wire-messages.js";
 
+/** Options of a wire. */
 export interface WireOptions {
-  /** IP:port under which other processes know this one. */
+  /** IP:port at which other processes reach this one. */
   readonly address: string;
   /** IP:port to listen on. */
   readonly listen: string;
   readonly log: Log;
   readonly receive: (message: unknown, from: string) => void;
+  /** Protocol version of the messages; the current one by default. */
   readonly mark?: number;
 }
 
+/** Sends messages to other processes and receives theirs. */
 export class Wire {
   readonly #options: WireOptions;
   readonly #outgoingOptions: OutgoingOptions;
@@ -29,17 +32,19 @@
   readonly connections: ConnectionCounts = { opened: 0, lost: 0, stalled: 0 };
   #server: Server | undefined;
   #isClosed = false;
-  #beatAt: number | undefined;
+  #lastTickAt: number | undefined;
+  /** Messages sent since the start. */
   sent = 0;
+  /** Messages dropped because they could not be sent at once. */
   dropped = 0;
 
   constructor(options: WireOptions) {
     this.#options = options;
     const { log, receive } = options;
-    const life = randomUUID();
+    const incarnation = randomUUID();
     const self = this;
     function acknowledged(acknowledgement: CrossAcknowledgement, from: string): void {
-      if (acknowledgement.life === life)
+      if (acknowledgement.life === incarnation)
         self.#outgoing.get(from)?.crossAcknowledged(acknowledgement);
     }
     const incoming = new IncomingConnections({ log, receive, acknowledged, mark: this.mark });
@@ -50,7 +55,7 @@
         product: "chutewick",
         mark,
         from: options.address,
-        life,
+        life: incarnation,
         connection,
         takesCrossAcknowledgements: true,
       };
@@ -61,23 +66,25 @@
     this.#outgoingOptions = {
       log,
       hello,
-      localAddress: split(options.listen).host,
+      localAddress: parseAddress(options.listen).host,
       counts: this.connections,
       takeCrossAcknowledgement,
     };
   }
 
+  /** Protocol version that this process uses. */
   get mark(): number {
     return this.#options.mark ?? constants.wireMark;
   }
 
-  /** Connections refused because the other process speaks another version. */
+  /** Connections refused because the other process uses an incompatible protocol version. */
   get refused(): number {
     return this.#incoming.refused;
   }
 
+  /** Starts to listen for connections of other processes. */
   async open(): Promise<void> {
-    const { host, port } = split(this.#options.listen);
+    const { host, port } = parseAddress(this.#options.listen);
     const incoming = this.#incoming;
     function accepted(socket: Socket): void {
       incoming.accept(socket);
@@ -91,6 +98,7 @@
     await new Promise<void>(listening);
   }
 
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#isClosed = true;
     this.#server?.close();
@@ -98,25 +106,28 @@
     for (const connection of this.#outgoing.values()) connection.close();
   }
 
-  /** Best effort: what cannot be sent now is dropped, and the cores send again. */
+  /** Best effort: a message that cannot be sent at once is dropped and false is returned; the cores send it again. */
   send(to: string, message: unknown): boolean {
-    const isSent = !this.#isClosed && this.#connection(to).send(message);
+    const isSent = !this.#isClosed && this.#connectionTo(to).send(message);
     if (isSent) this.sent += 1;
     else this.dropped += 1;
     return isSent;
   }
 
-  /** To be called with each beat of the process; now in ms, monotonic. Finds connections that have stalled, and acknowledges what came on others. */
+  /**
+   * Must be called at each tick of the process, with the monotonic time in ms. Replaces stalled connections and acknowledges the bytes
+   * received on the others.
+   */
   beat(now: number): void {
-    const elapsed = now - (this.#beatAt ?? now);
-    this.#beatAt = now;
-    /** A process that stood still has not yet read what came meanwhile: no more than two beats of that time count. */
-    const ran = Math.min(elapsed, constants.beatEvery * 2);
-    for (const connection of this.#outgoing.values()) connection.elapse(ran);
+    const elapsed = now - (this.#lastTickAt ?? now);
+    this.#lastTickAt = now;
+    // A process that was paused has not yet read what arrived meanwhile, so at most two tick intervals of a pause count.
+    const runningMs = Math.min(elapsed, constants.beatEvery * 2);
+    for (const connection of this.#outgoing.values()) connection.elapse(runningMs);
     this.#incoming.beat(now);
   }
 
-  #connection(to: string): OutgoingConnection {
+  #connectionTo(to: string): OutgoingConnection {
     let connection = this.#outgoing.get(to);
     if (connection === undefined) {
       connection = new OutgoingConnection(to, this.#outgoingOptions);
@@ -126,7 +137,7 @@
   }
 }
 
-function split(address: string): { host: string; port: number } {
+function parseAddress(address: string): { host: string; port: number } {
   const separator = address.lastIndexOf(":");
   return { host: address.slice(0, separator), port: Number(address.slice(separator + 1)) };
 }
--- a/packages/shell/src/write-queue.ts
+++ b/packages/shell/src/write-queue.ts
@@ -1,24 +1,25 @@
+/** Group commit of writes to a disk that may fail or stall (docs/design.md §10.2). */
 import { DiskHealth, type DiskCondition } from "@chutewick/parts";
 import { metrics } from "./metrics.js";
 
-/** One write: `apply` runs inside a transaction, perhaps again after a failed commit; `done` runs once it is durable. */
+/** One write: `apply` runs inside a transaction, and again after a failed commit; `done` runs once the write is durable. */
 export interface WriteJob {
   readonly apply: () => void;
   readonly done: () => void;
 }
 
-/** Where the queue commits to. */
+/** Store to which the queue commits. */
 export interface JobStore {
-  /** Resolves once all jobs are durable in one transaction; rejects where none of them is. */
+  /** Applies all jobs in one transaction: resolves once all of them are durable, rejects if none of them is. */
   commit(jobs: readonly WriteJob[]): Promise<void>;
 }
 
-/** Told whenever the disk's condition changes, with the error of the last failed commit. */
+/** Called whenever the condition of the disk changes, with the error of the last failed commit. */
 export type ConditionListener = (condition: DiskCondition, error: Error | undefined) => void;
 
 /**
- * Group commit: what comes while one transaction is being synced goes into the next as one (docs/design.md §10.2). A failed commit loses
- * nothing: its jobs stay first in the queue, and the oldest alone is tried after a growing pause.
+ * Group commit: writes that are added while a transaction is being synced form the next transaction. A failed commit loses nothing: its
+ * jobs stay at the head of the queue, and the oldest of them alone is retried after an increasing delay.
  */
 export class WriteQueue {
   readonly #store: JobStore;
@@ -27,7 +28,7 @@
   #jobs: WriteJob[] = [];
   #isBusy = false;
   #isClosed = false;
-  #told: DiskCondition = "writable";
+  #reportedCondition: DiskCondition = "writable";
   #lastError: Error | undefined;
   /** Commits that became durable. */
   commits = 0;
@@ -37,22 +38,24 @@
     this.#changed = changed;
   }
 
+  /** Whether the disk accepts writes, as far as its last commits show. */
   get condition(): DiskCondition {
     return this.#health.condition;
   }
 
+  /** Appends a write and starts committing if no commit is in progress. */
   add(job: WriteJob): void {
     this.#jobs.push(job);
     if (!this.#isBusy) void this.#drain();
   }
 
-  /** To be called with each beat of the process: finds a commit that does not end. */
+  /** Must be called at each tick of the process; detects a commit that does not end. */
   beat(now: number): void {
     this.#health.beat(now);
-    this.#tell();
+    this.#reportCondition();
   }
 
-  /** Stops retries; jobs that are not durable are dropped, as nothing was promised of them. */
+  /** Stops retries. Jobs that are not durable yet are dropped; none of them has been acknowledged. */
   close(): void {
     this.#isClosed = true;
   }
@@ -61,12 +64,12 @@
     this.#isBusy = true;
     while (this.#jobs.length > 0 && !this.#isClosed) {
       const pause = await this.#commitNext();
-      if (pause > 0) await elapsed(pause);
+      if (pause > 0) await sleep(pause);
     }
     this.#isBusy = false;
   }
 
-  /** Commits what waits, and returns the pause in ms before the next commit. */
+  /** Commits the next batch and returns the delay in ms before the commit after it. */
   async #commitNext(): Promise<number> {
     const batch = this.#jobs.slice(0, this.#health.batchMost);
     const start = performance.now();
@@ -76,28 +79,28 @@
     } catch (error) {
       this.#lastError = error as Error;
       const pause = this.#health.failed(performance.now());
-      this.#tell();
+      this.#reportCondition();
       return pause;
     }
     const now = performance.now();
     this.#jobs.splice(0, batch.length);
     this.#health.committed(now, this.#jobs.length === 0);
     this.commits += 1;
-    metrics.synced(now - start);
-    this.#tell();
+    metrics.committed(now - start);
+    this.#reportCondition();
     for (const job of batch) job.done();
     return 0;
   }
 
-  #tell(): void {
+  #reportCondition(): void {
     const { condition } = this.#health;
-    if (condition === this.#told) return;
-    this.#told = condition;
+    if (condition === this.#reportedCondition) return;
+    this.#reportedCondition = condition;
     this.#changed(condition, this.#lastError);
   }
 }
 
-function elapsed(milliseconds: number): Promise<void> {
+function sleep(milliseconds: number): Promise<void> {
   function begin(resolve: () => void): void {
     setTimeout(resolve, milliseconds);
   }
