--- a/features/connections.feature
+++ b/features/connections.feature
@@ -1,7 +1,7 @@
 @sockets
 Feature: connections between processes
-  Each process keeps one connection to every other process that it speaks to (docs/design.md §10.3). A cut of the network
-  leaves such a connection open on both sides; TCP goes on with it only at its next retransmission, long after the cut.
+  Each process keeps one connection to every other process to which it sends messages (docs/design.md §10.3). A network
+  partition leaves such a connection open on both sides; TCP resumes it only at its next retransmission, long after the partition ends.
 
   Scenario Outline: messages arrive soon after a cut of <seconds> s has ended
     Given two processes with a link between them, that send each other a message each 50 ms
@@ -29,27 +29,27 @@
     Then it has not expired 1.4 s later
     And it has expired 0.1 s after that
 
-  Scenario: a slow link that still carries bytes is no stalled one
+  Scenario: a connection over a slow link that still carries bytes has not stalled
     Given a connection of which all 100 bytes are acknowledged
     When 40000000 bytes more are written
     And one byte of them is acknowledged each second for 30 s
     Then it has not expired 1.4 s later
     And it has expired 0.1 s after that
 
-  Scenario: a process that stood still for seconds keeps its connections
+  Scenario: a process that was paused for seconds keeps its connections
     Given two processes with a link between them, that send each other a message each 50 ms
     Then a process whose clock jumps by 20 s five times keeps its connections
 
-  Scenario: a release that acknowledges nothing is never given up
-    Given a process that answers nothing on connections that it accepts
+  Scenario: connections to a release without acknowledgements are never closed as stalled
+    Given a process that sends nothing on connections that it accepts
     When another process sends it messages for 3 s
     Then all of them came on one connection, with nothing but messages on it
 
-  Scenario: messages of one turn of the event loop go out together
+  Scenario: messages of one turn of the event loop are written together
     When five messages are sent on one connection in one turn, and two in the next
     Then the connection was written to two times, with all seven messages in order
 
-  Scenario Outline: acknowledgements go among the messages of the other direction where both ends know that
+  Scenario Outline: acknowledgements are sent among the messages of the other direction if both ends support that
     Given a process that exchanges messages both ways with one whose hello <says> that it reads acknowledgements there
     When they have done so for 2 s
     Then the acknowledgements came <where>, with the bytes that it had written
--- a/features/disk-trouble.feature
+++ b/features/disk-trouble.feature
@@ -1,7 +1,7 @@
 @sockets
-Feature: a disk that takes no writes or does not answer costs its machine its place, not its process
-  The machine leaves its chains as one that stops does, refuses what it would have to write, and comes back by being copied to
-  (docs/design.md §3.4, §10.2). Of one disk, service is back while the trouble lasts; of all, it counts from the end of the trouble.
+Feature: a machine whose disk refuses writes or does not respond leaves its chains, but its process keeps running
+  The machine leaves its chains as in a planned stop, refuses requests that need a write, and rejoins as a learner (docs/design.md §3.4,
+  §10.2). With one disk, service is back while the fault lasts; with all disks, the time counts from the end of the fault.
 
   Scenario Outline: <fault>
     When the seeds 1 to 12 are played with the fault "<fault>"
--- a/features/disk.feature
+++ b/features/disk.feature
@@ -1,14 +1,14 @@
 @sockets
 Feature: a data folder after a loss of power
-  A folder is refused only where something that was promised from it may be gone (docs/design.md §10.2).
+  A folder is refused only if something that was acknowledged from it may be lost (docs/design.md §10.2).
 
-  Scenario: the file is kept longer than what is used, so pages taken and given back are not missed
+  Scenario: the file is kept longer than its used pages, so pages that were allocated and freed again are not missing
     Given a new data folder
-    When 200 changes of 40,000 bytes are written and half of them taken away again
-    Then the file is longer than its last page by at least half of what is kept ahead
-    And opened again it gives back what was written
+    When 200 changes of 40,000 bytes are written and half of them are removed again
+    Then the file is longer than its last page by at least half of the reserved length
+    And when it is opened again it holds what was written
 
-  Scenario Outline: power went while the folder was made: <what>
+  Scenario Outline: power is lost while the folder is created: <what>
     Given a new data folder
     When its file is left <what>
     Then it is opened as a new one that <may> found a group
@@ -22,36 +22,36 @@
       | out of the folder, its marker kept              | may not |
       | set aside, its marker kept                      | may not |
 
-  Scenario: a damaged database of another program is left alone
+  Scenario: a damaged database of another program is not touched
     Given a new data folder
     When its file is left without its last used page and without its marker
     Then it is refused as cut off
 
-  Scenario: a failed commit loses nothing, and the disk is tried with one write after growing pauses
+  Scenario: a failed commit loses nothing, and a single write is retried after increasing delays
     Given a write queue on a disk that refuses 4 commits
     When 3 writes are added at once
     Then the commits that were tried hold 3, 1, 1, 1, 1, 2 writes
-    And each write is told as durable once, in order
-    And the queue told "failing, writable"
+    And each write is reported as durable once, in order
+    And the queue reported "failing, writable"
 
-  Scenario: a disk that does not answer is told of while the process goes on, and again once it answers
-    Given a write queue on a disk that does not answer
+  Scenario: a disk that does not respond is reported while the process keeps running, and again once it responds
+    Given a write queue on a disk that does not respond
     When a write is added and 1,200 ms pass in beats of 50 ms
-    Then the queue told "stalled"
-    When the disk answers
-    Then the queue told "stalled, writable"
+    Then the queue reported "stalled"
+    When the disk responds
+    Then the queue reported "stalled, writable"
 
-  Scenario: time in which the process was not run is no silence of the disk
-    Given a write queue on a disk that does not answer
+  Scenario: time in which the process did not run does not count as a stalled disk
+    Given a write queue on a disk that does not respond
     When a write is added and 3,000 ms pass in one beat
-    Then the queue told nothing
+    Then the queue reported nothing
 
-  Scenario: a process whose disk is full at its start waits, and goes on without end when the disk is full later
+  Scenario: a process whose disk is full at its start waits, and keeps running when the disk is full later
     Given a real process with a data folder whose disk is full
-    When its disk has room for 9 MB
+    When its disk has space for 9 MB
     Then it opens its folder
     When it writes 16 MB
-    Then it tells that its disk is failing
-    When its disk has room again
-    Then it tells that its disk is writable
+    Then it reports that its disk is failing
+    When its disk has space again
+    Then it reports that its disk is writable
     And everything that it wrote is in its folder
--- a/features/signals.feature
+++ b/features/signals.feature
@@ -1,8 +1,8 @@
 @sockets
 Feature: signals while a process starts
-  A signal may come at any moment, also before the process has opened its data folder and its servers.
+  A signal may arrive at any moment, even before the process has opened its data folder and its servers.
 
-  Scenario: changed settings, and a planned stop, before the process is up
+  Scenario: a reload and a planned stop before the process has started
     Given a daemon that takes long to open
     When it is sent SIGHUP while it opens
     Then it goes on
--- a/features/steps/acknowledgements.ts
+++ b/features/steps/acknowledgements.ts
@@ -1,4 +1,4 @@
-/** Steps on frames written together and on acknowledgements among messages (docs/design.md §10.3). */
+/** Steps on batched frames and on acknowledgements sent among messages (docs/design.md §10.3). */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import { Writable } from "node:stream";
@@ -6,9 +6,8 @@
 import { constants } from "@chutewick/parts";
 import { encodeFrame, FrameBatch, FrameReader, log, settled, Wire } from "@chutewick/shell";
 
-/** ms. */
-const SEND_EVERY = 50;
-const LIFE = "life-of-the-peer";
+const SEND_INTERVAL_MS = 50;
+const INCARNATION = "incarnation-of-the-peer";
 const CONNECTION = 7;
 const WIRE_ADDRESS = "127.12.0.1:7100";
 const PEER_ADDRESS = "127.12.0.2:7100";
@@ -27,13 +26,13 @@
   timers: NodeJS.Timeout[];
   /** The peer's own connection to the wire. */
   outgoing: Socket;
-  /** What came back on it. */
+  /** Frames received on that connection. */
   answers: unknown[];
-  /** What came on the connection that the wire opened. */
+  /** Frames received on the connection that the wire opened. */
   messages: unknown[];
 }
 
-async function turn(this: World): Promise<void> {
+async function sendInTwoTurns(this: World): Promise<void> {
   const writes: Buffer[] = [];
   function write(chunk: Buffer, _encoding: unknown, done: () => void): void {
     writes.push(chunk);
@@ -46,7 +45,7 @@
   await new Promise(setImmediate);
   this.writes = writes;
 }
-When("five messages are sent on one connection in one turn, and two in the next", turn);
+When("five messages are sent on one connection in one turn, and two in the next", sendInTwoTurns);
 
 function writtenTwice(this: World): void {
   equal(this.writes.length, 2);
@@ -62,11 +61,11 @@
 async function exchanging(this: World, says: string): Promise<void> {
   const world = this;
   Object.assign(world, { sockets: [], timers: [], answers: [], messages: [] });
-  const quiet = log.open("test", "acknowledgements", "fatal");
+  const silentLog = log.open("test", "acknowledgements", "fatal");
   const wire = new Wire({
     address: WIRE_ADDRESS,
     listen: WIRE_ADDRESS,
-    log: quiet,
+    log: silentLog,
     receive: () => undefined,
   });
   world.wire = wire;
@@ -76,16 +75,16 @@
   const outgoing = connect({ host: "127.12.0.1", port: 7_100, localAddress: "127.12.0.2" });
   world.outgoing = outgoing;
   collect(world, outgoing, world.answers);
-  const hello = { product: "chutewick", mark: wire.mark, from: PEER_ADDRESS, life: LIFE };
+  const hello = { product: "chutewick", mark: wire.mark, from: PEER_ADDRESS, life: INCARNATION };
   const flag = says === "says" ? { takesCrossAcknowledgements: true } : {};
   outgoing.write(encodeFrame({ ...hello, connection: CONNECTION, ...flag }));
   const send = (): void => {
     outgoing.write(encodeFrame({ text: "from the peer" }));
     wire.send(PEER_ADDRESS, { text: "from the wire" });
   };
-  world.timers.push(setInterval(send, SEND_EVERY));
-  const beat = (): void => wire.beat(performance.now());
-  world.timers.push(setInterval(beat, constants.beatEvery));
+  world.timers.push(setInterval(send, SEND_INTERVAL_MS));
+  const tick = (): void => wire.beat(performance.now());
+  world.timers.push(setInterval(tick, constants.beatEvery));
 }
 Given(
   /^a process that exchanges messages both ways with one whose hello (says|does not say) that it reads acknowledgements there$/,
@@ -109,13 +108,17 @@
 }
 
 function cameAmongMessages(this: World): void {
-  const across = acknowledgementsIn(this.messages);
-  const most = 2_000 / constants.crossAcknowledgeEvery;
-  ok(across.length >= 4 && across.length <= most, `${across.length} came among the messages`);
-  for (const { life, connection } of across) deepEqual([life, connection], [LIFE, CONNECTION]);
-  /** The hello is answered on its own connection; another one may go there before messages flow both ways. */
+  const crossAcknowledgements = acknowledgementsIn(this.messages);
+  const maximum = 2_000 / constants.crossAcknowledgeEvery;
+  ok(
+    crossAcknowledgements.length >= 4 && crossAcknowledgements.length <= maximum,
+    `${crossAcknowledgements.length} came among the messages`,
+  );
+  for (const { life, connection } of crossAcknowledgements)
+    deepEqual([life, connection], [INCARNATION, CONNECTION]);
+  // The hello is acknowledged on its own connection; one more may be sent there before messages flow both ways.
   ok(acknowledgementsIn(this.answers).length <= 2);
-  checkBytes(this, across.at(-1)!.received);
+  checkBytes(this, crossAcknowledgements.at(-1)!.received);
 }
 Then(
   "the acknowledgements came among the messages, with the bytes that it had written",
--- a/features/steps/closing-server.ts
+++ b/features/steps/closing-server.ts
@@ -1,4 +1,4 @@
-/** HTTP servers that end their connections in order, with real sockets. */
+/** Steps on HTTP servers that close their connections in order, with real sockets. */
 import { deepEqual, equal } from "node:assert/strict";
 import { once } from "node:events";
 import type { ServerResponse } from "node:http";
@@ -11,23 +11,23 @@
   server: AnsweringServer;
   connections: RecordedConnection[];
   closing: Promise<void>;
-  /** Connections of callers that say nothing. */
+  /** Connections on which nothing is sent. */
   others: Socket[];
 }
 
 const ADDRESS = { host: "127.9.7.1", port: 8_100 };
 
-/** Answers each request some time after it came, with its path. */
+/** Responds to each request with its path, some time after its arrival. */
 class AnsweringServer {
   readonly passedOn: string[] = [];
   readonly gateway: Gateway;
   readonly #answers = new Set<NodeJS.Timeout>();
   #closing: Promise<void> | undefined;
 
-  constructor(takes: number) {
+  constructor(delayMs: number) {
     const arrived = ({ path, reply }: WholeArrival): void => {
       this.passedOn.push(path);
-      this.#answers.add(setTimeout(() => answer(reply, path), takes));
+      this.#answers.add(setTimeout(() => answer(reply, path), delayMs));
     };
     this.gateway = new Gateway({
       address: `${ADDRESS.host}:${ADDRESS.port}`,
@@ -38,7 +38,7 @@
     });
   }
 
-  /** Another hook may have begun to close it: whoever closes it waits until it is closed. */
+  /** Closes the server; a step may already have started that, so every caller waits for the same close. */
   close(): Promise<void> {
     for (const timer of this.#answers) clearTimeout(timer);
     this.#closing ??= this.gateway.close();
@@ -54,7 +54,7 @@
   reply.writeHead(200, { "content-length": String(body.length) }).end(body);
 }
 
-/** Whatever the server says on one connection. */
+/** A connection that records everything the server sends on it. */
 class RecordedConnection {
   readonly socket: Socket;
   text = "";
@@ -84,11 +84,11 @@
 }
 
 function ignored(): void {
-  // The end of the connection is what counts.
+  // The steps wait for the end of the connection, with or without an error.
 }
 
-async function aServer(this: World, takes: number): Promise<void> {
-  this.server = new AnsweringServer(takes);
+async function aServer(this: World, delayMs: number): Promise<void> {
+  this.server = new AnsweringServer(delayMs);
   await this.server.gateway.open();
   this.connections = [await RecordedConnection.open()];
 }
@@ -118,24 +118,27 @@
 }
 Then("both are answered in order, and the second ends the connection", bothAnswered);
 
-/** ms. Until bytes sent on loopback were read. */
-const READ_WITHIN = 100;
+/** Time in ms within which bytes sent on loopback are read. */
+const READ_WITHIN_MS = 100;
 
-async function closedUnderWay(this: World): Promise<void> {
+async function closeWhileReading(this: World): Promise<void> {
   invariants.reset();
   const [whole] = this.connections as [RecordedConnection];
   const half = await RecordedConnection.open();
   this.connections.push(half);
   whole.socket.write(`GET /whole ${HEAD}\r\n`);
   half.socket.write(`POST /half ${HEAD}Content-Length: 2\r\n\r\n{`);
-  await pause(READ_WITHIN);
+  await pause(READ_WITHIN_MS);
   const closed = this.server.close();
   half.socket.write("}");
   await closed;
 }
-When("a request comes on it, and half of one on another, and the server is closed", closedUnderWay);
+When(
+  "a request comes on it, and half of one on another, and the server is closed",
+  closeWhileReading,
+);
 
-async function answeredAtEnd(this: World, whole: number, half: number): Promise<void> {
+async function answeredAtStop(this: World, whole: number, half: number): Promise<void> {
   for (const connection of this.connections) await connection.ended();
   deepEqual(
     this.connections.map(({ statuses }) => statuses),
@@ -145,20 +148,20 @@
 }
 Then(
   "the whole one is answered {int}, the half one {int}, and no request is counted as dropped",
-  answeredAtEnd,
+  answeredAtStop,
 );
 
-function notPassedOn(this: World): void {
+function isNotPassedOn(this: World): void {
   deepEqual(this.server.passedOn, ["/whole"]);
 }
-Then("the second half of the other is not passed on", notPassedOn);
+Then("the second half of the other is not passed on", isNotPassedOn);
 
 async function unreadAnswer(this: World): Promise<void> {
   invariants.reset();
   const [{ socket }] = this.connections as [RecordedConnection];
   socket.pause();
   socket.write(`GET ${LARGE} ${HEAD}\r\n`);
-  await pause(READ_WITHIN);
+  await pause(READ_WITHIN_MS);
   await this.server.close();
 }
 When("its answer of 64 MiB is not read, and the server is closed", unreadAnswer);
@@ -169,21 +172,24 @@
 }
 Then("{int} request is counted as dropped", countedDropped);
 
-async function closedWhileOthersCome(this: World): Promise<void> {
+async function closeWhileOthersConnect(this: World): Promise<void> {
   const sockets: Socket[] = [];
-  function come(): void {
+  function connectOther(): void {
     const socket = connect(ADDRESS);
     socket.on("error", ignored);
     sockets.push(socket);
   }
-  const comers = setInterval(come, 10);
-  await pause(READ_WITHIN);
+  const connectTimer = setInterval(connectOther, 10);
+  await pause(READ_WITHIN_MS);
   this.closing = this.server.close();
-  await pause(READ_WITHIN * 3);
-  clearInterval(comers);
+  await pause(READ_WITHIN_MS * 3);
+  clearInterval(connectTimer);
   this.others = sockets;
 }
-When("others connect each 10 ms and say nothing, and the server is closed", closedWhileOthersCome);
+When(
+  "others connect each 10 ms and send nothing, and the server is closed",
+  closeWhileOthersConnect,
+);
 
 async function closesWithin(this: World, seconds: number): Promise<void> {
   const isClosed = this.closing.then(() => true);
@@ -194,22 +200,22 @@
 }
 Then("it has closed within {int} s", closesWithin);
 
-async function twoAndGone(this: World): Promise<void> {
+async function twoAndDisconnect(this: World): Promise<void> {
   const [{ socket }] = this.connections as [RecordedConnection];
   socket.write(`GET /first ${HEAD}\r\nGET /second ${HEAD}\r\n`);
-  await pause(READ_WITHIN);
+  await pause(READ_WITHIN_MS);
   equal(this.server.gateway.underWay, 2);
   socket.destroy();
 }
-When("two requests come at once on it, and the caller leaves", twoAndGone);
+When("two requests come at once on it, and the caller leaves", twoAndDisconnect);
 
-async function noneUnderWay(this: World, seconds: number): Promise<void> {
+async function noneInProgress(this: World, seconds: number): Promise<void> {
   const until = performance.now() + seconds * 1_000;
   const isOver = (): boolean => this.server.gateway.underWay === 0 || performance.now() >= until;
   await settled(isOver);
   equal(this.server.gateway.underWay, 0);
 }
-Then("the server has no request under way within {int} s", noneUnderWay);
+Then("the server has no request in progress within {int} s", noneInProgress);
 
 async function ended(this: World): Promise<void> {
   for (const { socket } of this.connections ?? []) socket.destroy();
--- a/features/steps/connections.ts
+++ b/features/steps/connections.ts
@@ -1,3 +1,4 @@
+/** Steps on connections between processes over a link that is cut. */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { createServer, type Server, type Socket } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
@@ -6,40 +7,39 @@
 import { ConnectionProgress, Wire, invariants, log, settled } from "@chutewick/shell";
 import { Packr } from "msgpackr";
 
-/** ms. */
-const SEND_EVERY = 50;
+const SEND_INTERVAL_MS = 50;
 
 interface Numbered {
   readonly number: number;
 }
 
-interface End {
+interface Endpoint {
   readonly wire: Wire;
   readonly to: string;
   sent: number;
   received: number;
-  /** Messages that came after one that was sent later. */
+  /** Messages that arrived after one that was sent later. */
   outOfOrder: number;
 }
 
 interface World {
-  ends: End[];
+  ends: Endpoint[];
   relay: Relay | undefined;
   timers: NodeJS.Timeout[];
   progress: ConnectionProgress;
-  /** Bytes. */
+  /** Bytes written so far. */
   written: number;
   oldRelease: OldRelease | undefined;
 }
 
-/** A listener of a release that acknowledges nothing. */
+/** A listening process of a release without acknowledgements. */
 interface OldRelease {
   readonly server: Server;
   readonly sockets: Socket[];
   readonly messages: unknown[];
 }
 
-const quiet = log.open("test", "connections", "fatal");
+const silentLog = log.open("test", "connections", "fatal");
 const addresses = ["127.11.0.1:7100", "127.11.0.2:7100"] as const;
 const listens = ["127.11.0.1:7101", "127.11.0.2:7101"] as const;
 
@@ -47,7 +47,7 @@
   world.timers.push(setInterval(action, milliseconds));
 }
 
-async function openEnd(own: 0 | 1): Promise<End> {
+async function openEndpoint(own: 0 | 1): Promise<Endpoint> {
   function receive(message: unknown): void {
     const { number } = message as Numbered;
     if (number < end.received && number > 0) end.outOfOrder += 1;
@@ -56,24 +56,30 @@
   const wire = new Wire({
     address: addresses[own],
     listen: listens[own],
-    log: quiet,
+    log: silentLog,
     receive,
   });
-  const end: End = { wire, to: addresses[own === 0 ? 1 : 0], sent: 0, received: 0, outOfOrder: 0 };
+  const end: Endpoint = {
+    wire,
+    to: addresses[own === 0 ? 1 : 0],
+    sent: 0,
+    received: 0,
+    outOfOrder: 0,
+  };
   await wire.open();
   return end;
 }
 
-function startSending(world: World, end: End): void {
+function startSending(world: World, end: Endpoint): void {
   function send(): void {
     end.sent += 1;
     end.wire.send(end.to, { number: end.sent });
   }
-  function beat(): void {
+  function tick(): void {
     end.wire.beat(performance.now());
   }
-  every(world, SEND_EVERY, send);
-  every(world, constants.beatEvery, beat);
+  every(world, SEND_INTERVAL_MS, send);
+  every(world, constants.beatEvery, tick);
 }
 
 async function twoProcesses(this: World): Promise<void> {
@@ -81,7 +87,7 @@
   this.timers = [];
   this.relay = new Relay();
   for (const own of [0, 1] as const) await this.relay.open(addresses[own], listens[own]);
-  this.ends = [await openEnd(0), await openEnd(1)];
+  this.ends = [await openEndpoint(0), await openEndpoint(1)];
   for (const end of this.ends) startSending(this, end);
   const { ends } = this;
   function bothReceive(): boolean {
@@ -94,18 +100,18 @@
   twoProcesses,
 );
 
-function hasReceived(end: End): boolean {
+function hasReceived(end: Endpoint): boolean {
   return end.received > 0;
 }
 
 async function cutFor(this: World, seconds: number): Promise<void> {
   this.relay!.cut("127.11.0.1", "127.11.0.2");
-  await passed(seconds * 1_000);
+  await waitFor(seconds * 1_000);
   this.relay!.mend();
 }
 When("the link is cut for {float} s", { timeout: 20_000 }, cutFor);
 
-async function passed(milliseconds: number): Promise<void> {
+async function waitFor(milliseconds: number): Promise<void> {
   const end = performance.now() + milliseconds;
   function isOver(): boolean {
     return performance.now() >= end;
@@ -132,7 +138,7 @@
   arrivesWithin,
 );
 
-function sentOf(end: End): number {
+function sentOf(end: Endpoint): number {
   return end.sent;
 }
 
@@ -154,7 +160,7 @@
 }
 When("{int} bytes more are written", written);
 
-/** Looks at a connection with each beat of a process that runs. */
+/** Lets the time pass for a connection of a running process, in steps of one tick. */
 function elapse({ progress, written: bytes }: World, milliseconds: number): void {
   for (let at = 0; at < milliseconds; at += constants.beatEvery)
     progress.elapse(constants.beatEvery, bytes);
@@ -182,23 +188,23 @@
 }
 Then("it has expired {float} s after that", hasExpired);
 
-async function standsStill(this: World, seconds: number): Promise<void> {
-  const [end] = this.ends as [End, End];
+async function isPaused(this: World, seconds: number): Promise<void> {
+  const [end] = this.ends as [Endpoint, Endpoint];
   let now = performance.now();
   const before = end.wire.connections.stalled;
-  /** As after a stop of the process: the clock has gone on, and nothing was read meanwhile. */
-  for (let beat = 0; beat < 5; beat += 1) end.wire.beat((now += seconds * 1_000));
-  await passed(SEND_EVERY);
+  // As after a pause of the process: the clock has advanced, and nothing was read meanwhile.
+  for (let tick = 0; tick < 5; tick += 1) end.wire.beat((now += seconds * 1_000));
+  await waitFor(SEND_INTERVAL_MS);
   equal(end.wire.connections.stalled, before);
 }
 Then(
   "a process whose clock jumps by {int} s five times keeps its connections",
   { timeout: 10_000 },
-  standsStill,
+  isPaused,
 );
 
 function sendMuch(this: World, mebibytes: number): void {
-  const [end] = this.ends as [End, End];
+  const [end] = this.ends as [Endpoint, Endpoint];
   const message = { number: 0, filling: Buffer.alloc(1_048_576) };
   this.relay!.cut("127.11.0.1", "127.11.0.2");
   for (let count = 0; count < mebibytes; count += 1) end.wire.send(end.to, message);
@@ -206,7 +212,7 @@
 When("the link is cut, and the first sends {int} MiB at once", sendMuch);
 
 async function endsAfter(this: World, seconds: number): Promise<void> {
-  await passed(seconds * 1_000);
+  await waitFor(seconds * 1_000);
   this.relay!.mend();
 }
 When("the cut ends after {float} s", { timeout: 20_000 }, endsAfter);
@@ -216,16 +222,16 @@
   const release: OldRelease = { server: createServer(accepted), sockets: [], messages: [] };
   function accepted(socket: Socket): void {
     release.sockets.push(socket);
-    let held = Buffer.alloc(0);
-    function arrived(chunk: Buffer): void {
-      held = Buffer.concat([held, chunk]);
-      while (held.length >= 4 && held.length >= held.readUInt32BE(0) + 4) {
-        const length = held.readUInt32BE(0);
-        release.messages.push(packer.unpack(held.subarray(4, length + 4)));
-        held = held.subarray(length + 4);
+    let buffered = Buffer.alloc(0);
+    function receive(chunk: Buffer): void {
+      buffered = Buffer.concat([buffered, chunk]);
+      while (buffered.length >= 4 && buffered.length >= buffered.readUInt32BE(0) + 4) {
+        const length = buffered.readUInt32BE(0);
+        release.messages.push(packer.unpack(buffered.subarray(4, length + 4)));
+        buffered = buffered.subarray(length + 4);
       }
     }
-    socket.on("data", arrived);
+    socket.on("data", receive);
     socket.on("error", ignored);
   }
   function listening(resolve: () => void): void {
@@ -236,17 +242,17 @@
   this.timers = [];
   this.relay = undefined;
 }
-Given("a process that answers nothing on connections that it accepts", anOldRelease);
+Given("a process that sends nothing on connections that it accepts", anOldRelease);
 
 function ignored(): void {
-  // Ends of connections are counted by what arrives.
+  // The steps count messages and connections, so errors need no handling.
 }
 
 async function sendsFor(this: World, seconds: number): Promise<void> {
-  const end = await openEnd(0);
+  const end = await openEndpoint(0);
   this.ends = [{ ...end, to: listens[1] }];
   startSending(this, this.ends[0]!);
-  await passed(seconds * 1_000);
+  await waitFor(seconds * 1_000);
 }
 When("another process sends it messages for {int} s", { timeout: 10_000 }, sendsFor);
 
@@ -260,11 +266,11 @@
 }
 Then("all of them came on one connection, with nothing but messages on it", onlyMessages);
 
-function closeAll(this: World): void {
+function closeEverything(this: World): void {
   for (const timer of this.timers ?? []) clearInterval(timer);
   for (const { wire } of this.ends ?? []) wire.close();
   this.relay?.close();
   this.oldRelease?.server.close();
   for (const socket of this.oldRelease?.sockets ?? []) socket.destroy();
 }
-After(closeAll);
+After(closeEverything);
--- a/features/steps/disk-process.ts
+++ b/features/steps/disk-process.ts
@@ -1,31 +1,31 @@
+/**
+ * Program with one data folder, run as a process of its own so that the size of its files can be limited. It reads one command a line:
+ * `write COUNT` adds so many writes of 40,000 bytes, `close` closes the folder and exits. It prints one event a line: `waiting`,
+ * `opened`, a condition of the disk, `durable` once all writes are durable, and `closed`.
+ */
 import { fileURLToPath } from "node:url";
 import type { ChainWrite, DiskCondition } from "@chutewick/parts";
 import { Disk } from "@chutewick/shell";
 
-/**
- * A process of its own with one data folder, for limits on the size of its files. It reads one line for each command: `write COUNT` adds
- * so many writes of 40,000 bytes, `close` closes the folder and ends. It tells lines: `waiting`, `opened`, a disk's condition, `durable`
- * once all writes are, and `closed`.
- */
-const bytesOfWrite = 40_000;
-const beatEvery = 50;
+const writeBytes = 40_000;
+const tickIntervalMs = 50;
 
-function tell(line: string): void {
+function print(line: string): void {
   process.stdout.write(`${line}\n`);
 }
 
 function changed(condition: DiskCondition): void {
-  tell(condition);
+  print(condition);
 }
 
 function waiting(): void {
-  tell("waiting");
+  print("waiting");
 }
 
 function recordOf(number: number): ChainWrite {
   return {
     clear: false,
-    changes: [[`k${number}`, "x".repeat(bytesOfWrite)]],
+    changes: [[`k${number}`, "x".repeat(writeBytes)]],
     entries: [],
     drop: [],
     state: { place: number, time: 0, confirmed: number, view: { mark: 1, members: [] } },
@@ -33,17 +33,17 @@
 }
 
 function writeAll(disk: Disk, count: number): void {
-  let left = count;
+  let remaining = count;
   function done(): void {
-    left -= 1;
-    if (left === 0) tell("durable");
+    remaining -= 1;
+    if (remaining === 0) print("durable");
   }
   for (let number = 1; number <= count; number += 1) disk.writeChain("q", recordOf(number), done);
 }
 
 async function end(disk: Disk): Promise<void> {
   await disk.close();
-  tell("closed");
+  print("closed");
   process.exit(0);
 }
 
@@ -52,17 +52,17 @@
   const opened = await Disk.open(folder, owner, { changed, waiting });
   if (!opened.ok) throw new Error(opened.reason);
   const disk = opened.value;
-  tell("opened");
-  function beat(): void {
+  print("opened");
+  function tick(): void {
     disk.beat(performance.now());
   }
-  setInterval(beat, beatEvery);
-  function take(line: string): void {
+  setInterval(tick, tickIntervalMs);
+  function execute(line: string): void {
     const [command, count] = line.trim().split(" ");
     if (command === "write") writeAll(disk, Number(count));
     else void end(disk);
   }
-  process.stdin.setEncoding("utf8").on("data", take);
+  process.stdin.setEncoding("utf8").on("data", execute);
 }
 
 if (process.argv[1] === fileURLToPath(import.meta.url)) await main(process.argv[2]!);
--- a/features/steps/disk.ts
+++ b/features/steps/disk.ts
@@ -30,7 +30,7 @@
 
 const listener = { changed: unexpected, waiting: unexpected };
 
-function fileOf(world: World): string {
+function databaseFileOf(world: World): string {
   return join(world.diskFolder!, "data.mdb");
 }
 
@@ -46,7 +46,7 @@
 }
 Given("a new data folder", aFolder);
 
-function written(disk: Disk, changes: readonly Change[], place: number): Promise<void> {
+function writeChanges(disk: Disk, changes: readonly Change[], place: number): Promise<void> {
   const write: ChainWrite = {
     clear: false,
     changes,
@@ -63,41 +63,41 @@
 async function manyChanges(this: World): Promise<void> {
   const value = "x".repeat(40_000);
   for (let count = 0; count < 200; count += 1)
-    await written(this.disk, [[`k${count}`, value]], count + 1);
+    await writeChanges(this.disk, [[`k${count}`, value]], count + 1);
   for (let count = 0; count < 200; count += 2)
-    await written(this.disk, [[`k${count}`, undefined]], 201 + count);
+    await writeChanges(this.disk, [[`k${count}`, undefined]], 201 + count);
 }
-When("200 changes of 40,000 bytes are written and half of them taken away again", manyChanges);
+When("200 changes of 40,000 bytes are written and half of them are removed again", manyChanges);
 
 function isLonger(this: World): void {
-  const { size } = statSync(fileOf(this));
+  const { size } = statSync(databaseFileOf(this));
   ok(
-    size >= usedBytes(fileOf(this)) + constants.diskAhead / 2,
-    `${size} bytes of which ${usedBytes(fileOf(this))} are used`,
+    size >= usedBytes(databaseFileOf(this)) + constants.diskAhead / 2,
+    `${size} bytes of which ${usedBytes(databaseFileOf(this))} are used`,
   );
 }
-Then("the file is longer than its last page by at least half of what is kept ahead", isLonger);
+Then("the file is longer than its last page by at least half of the reserved length", isLonger);
 
-async function givesBack(this: World): Promise<void> {
+async function holdsWritten(this: World): Promise<void> {
   await this.disk.close();
   const opened = await open(this);
   if (!opened.ok) throw new Error(opened.reason);
   equal(opened.value.holding("q")!.records.length, 100);
   await opened.value.close();
 }
-Then("opened again it gives back what was written", givesBack);
+Then("when it is opened again it holds what was written", holdsWritten);
 
-async function left(this: World, what: string): Promise<void> {
-  await written(this.disk, [["k", "x".repeat(40_000)]], 1);
+async function leaveFile(this: World, what: string): Promise<void> {
+  await writeChanges(this.disk, [["k", "x".repeat(40_000)]], 1);
   this.identity = this.disk.identity;
   await this.disk.close();
   damage(this, what);
   this.opened = await open(this);
 }
-When(/^its file is left (.+)$/, left);
+When(/^its file is left (.+)$/, leaveFile);
 
 function damage(world: World, what: string): void {
-  const file = fileOf(world);
+  const file = databaseFileOf(world);
   const marker = join(world.diskFolder!, "begun");
   if (what.startsWith("without its last used page")) truncateSync(file, usedBytes(file) - pageSize);
   else if (what.startsWith("with zeros")) zeroPages(file);
@@ -107,7 +107,7 @@
   if (what.includes("before its first") || what.endsWith("without its marker")) rmSync(marker);
 }
 
-/** All pages but the two heads. */
+/** Fills all pages except the two meta pages with zeros. */
 function zeroPages(file: string): void {
   const bytes = readFileSync(file);
   bytes.fill(0, pageSize * 2);
@@ -134,7 +134,7 @@
 }
 Then("it is refused as cut off", isRefused);
 
-function cleared(this: World): void {
+function removeFolder(this: World): void {
   if (this.diskFolder !== undefined) rmSync(this.diskFolder, { recursive: true, force: true });
 }
-After(cleared);
+After(removeFolder);
--- a/features/steps/folder.ts
+++ b/features/steps/folder.ts
@@ -1,6 +1,6 @@
 import { readFileSync } from "node:fs";
 
-/** Up to the last page that either head of the file tells of: beyond it the file is only kept longer. */
+/** Bytes up to the last used page of an lmdb file, from its newer meta page; the rest of the file is only reserved. */
 export function usedBytes(file: string): number {
   const bytes = readFileSync(file);
   const pages = [bytes.readBigUInt64LE(24 + 120), bytes.readBigUInt64LE(4_096 + 24 + 120)];
--- a/features/steps/full-disk.ts
+++ b/features/steps/full-disk.ts
@@ -1,3 +1,4 @@
+/** Steps on a process whose disk is full, which a limit on its file size stands in for. */
 import { equal } from "node:assert/strict";
 import { execFileSync, spawn, type ChildProcess } from "node:child_process";
 import { mkdtempSync } from "node:fs";
@@ -7,20 +8,20 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { Disk } from "@chutewick/shell";
 
-/** A real process whose files may not grow beyond a limit, which stands for a full disk: the file system then refuses writes. */
+/** A real process whose files may not grow beyond a limit. The file system then refuses writes, as on a full disk. */
 interface World {
   diskFolder?: string;
   limited?: LimitedProcess;
 }
 
-/** bytes. Of one write of the process. */
-const bytesOfWrite = 40_000;
-const patience = { timeout: 20_000 };
+/** Size in bytes of one write of the process. */
+const writeBytes = 40_000;
+const stepOptions = { timeout: 20_000 };
 
 class LimitedProcess {
   readonly child: ChildProcess;
   readonly #lines: string[] = [];
-  #heard: (() => void) | undefined;
+  #lineReceived: (() => void) | undefined;
 
   constructor(folder: string) {
     const program = fileURLToPath(new URL("disk-process.js", import.meta.url));
@@ -28,33 +29,33 @@
       stdio: ["pipe", "pipe", "inherit"],
     });
     const self = this;
-    function hear(text: string): void {
+    function receive(text: string): void {
       self.#lines.push(...text.trim().split("\n"));
-      self.#heard?.();
+      self.#lineReceived?.();
     }
-    this.child.stdout!.setEncoding("utf8").on("data", hear);
+    this.child.stdout!.setEncoding("utf8").on("data", receive);
   }
 
-  /** Sets the limit on the size of its files, in bytes or `unlimited`. */
+  /** Sets the file size limit, in bytes or `unlimited`. */
   limit(size: string): void {
     execFileSync("prlimit", ["--pid", String(this.child.pid), `--fsize=${size}:`]);
   }
 
-  say(line: string): void {
+  sendLine(line: string): void {
     this.child.stdin!.write(`${line}\n`);
   }
 
-  /** Waits for a line and passes over those before it. */
-  async hears(line: string): Promise<void> {
+  /** Waits for a line of output and discards the lines before it. */
+  async waitForLine(line: string): Promise<void> {
     for (;;) {
-      const place = this.#lines.indexOf(line);
-      if (place >= 0) {
-        this.#lines.splice(0, place + 1);
+      const index = this.#lines.indexOf(line);
+      if (index >= 0) {
+        this.#lines.splice(0, index + 1);
         return;
       }
       const self = this;
       function begin(resolve: () => void): void {
-        self.#heard = resolve;
+        self.#lineReceived = resolve;
       }
       await new Promise<void>(begin);
     }
@@ -64,39 +65,39 @@
 async function started(this: World): Promise<void> {
   this.diskFolder = mkdtempSync(join(tmpdir(), "chutewick-disk-"));
   this.limited = new LimitedProcess(this.diskFolder);
-  await this.limited.hears("waiting");
+  await this.limited.waitForLine("waiting");
 }
-Given("a real process with a data folder whose disk is full", patience, started);
+Given("a real process with a data folder whose disk is full", stepOptions, started);
 
-function hasSome(this: World, megabytes: number): void {
+function hasSomeSpace(this: World, megabytes: number): void {
   this.limited!.limit(String(megabytes * 1_000_000));
 }
-When("its disk has room for {int} MB", hasSome);
+When("its disk has space for {int} MB", hasSomeSpace);
 
 async function opens(this: World): Promise<void> {
-  await this.limited!.hears("opened");
+  await this.limited!.waitForLine("opened");
 }
-Then("it opens its folder", patience, opens);
+Then("it opens its folder", stepOptions, opens);
 
 function writes(this: World, megabytes: number): void {
-  this.limited!.say(`write ${(megabytes * 1_000_000) / bytesOfWrite}`);
+  this.limited!.sendLine(`write ${(megabytes * 1_000_000) / writeBytes}`);
 }
 When("it writes {int} MB", writes);
 
-async function tellsCondition(this: World, condition: string): Promise<void> {
-  await this.limited!.hears(condition);
+async function reportsCondition(this: World, condition: string): Promise<void> {
+  await this.limited!.waitForLine(condition);
 }
-Then("it tells that its disk is {word}", patience, tellsCondition);
+Then("it reports that its disk is {word}", stepOptions, reportsCondition);
 
-function hasRoom(this: World): void {
+function hasSpace(this: World): void {
   this.limited!.limit("unlimited");
 }
-When("its disk has room again", hasRoom);
+When("its disk has space again", hasSpace);
 
 async function isThere(this: World): Promise<void> {
-  await this.limited!.hears("durable");
-  this.limited!.say("close");
-  await this.limited!.hears("closed");
+  await this.limited!.waitForLine("durable");
+  this.limited!.sendLine("close");
+  await this.limited!.waitForLine("closed");
   const owner = { kind: "storage", name: "storage-1" };
   const listener = { changed: unexpected, waiting: unexpected };
   const opened = await Disk.open(this.diskFolder!, owner, listener);
@@ -104,7 +105,7 @@
   equal(opened.value.holding("q")!.records.length, 400);
   await opened.value.close();
 }
-Then("everything that it wrote is in its folder", patience, isThere);
+Then("everything that it wrote is in its folder", stepOptions, isThere);
 
 function unexpected(what: string): void {
   throw new Error(`the disk is ${what}`);
--- a/features/steps/signals.ts
+++ b/features/steps/signals.ts
@@ -1,3 +1,4 @@
+/** Steps on signals to a daemon that is still starting. */
 import { equal } from "node:assert/strict";
 import { spawn, type ChildProcess } from "node:child_process";
 import { once } from "node:events";
@@ -8,7 +9,7 @@
   output: string;
 }
 
-/** A daemon whose opening never ends; its log goes to standard output. */
+/** A daemon whose start never completes; it logs to standard output. */
 const PROGRAM = `
 import { start } from "@chutewick/shell";
 setInterval(() => {}, 1_000);
--- a/features/steps/write-queue.ts
+++ b/features/steps/write-queue.ts
@@ -1,3 +1,4 @@
+/** Steps on the write queue of a disk that refuses or delays commits. */
 import { deepEqual, equal } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import { WriteQueue, type JobStore, type WriteJob } from "@chutewick/shell";
@@ -5,60 +6,60 @@
 interface World {
   store: FaultyStore;
   queue: WriteQueue;
-  told: string[];
+  reported: string[];
   durable: number[];
 }
 
-/** A disk that refuses so many commits, or keeps each until it is let go. */
+/** A store that rejects a number of commits, or holds each commit until it is released. */
 class FaultyStore implements JobStore {
-  readonly tried: number[] = [];
-  refuses = 0;
+  readonly attempts: number[] = [];
+  refusals = 0;
   isHeld = false;
-  #letGo: (() => void) | undefined;
+  #release: (() => void) | undefined;
 
   commit(jobs: readonly WriteJob[]): Promise<void> {
-    this.tried.push(jobs.length);
+    this.attempts.push(jobs.length);
     for (const job of jobs) job.apply();
     if (this.isHeld) return this.#held();
-    if (this.refuses === 0) return Promise.resolve();
-    this.refuses -= 1;
+    if (this.refusals === 0) return Promise.resolve();
+    this.refusals -= 1;
     return Promise.reject(new Error("no space left on device"));
   }
 
   #held(): Promise<void> {
     const self = this;
     function begin(resolve: () => void): void {
-      self.#letGo = resolve;
+      self.#release = resolve;
     }
     return new Promise<void>(begin);
   }
 
-  letGo(): void {
-    this.#letGo?.();
+  release(): void {
+    this.#release?.();
   }
 }
 
-function aQueue(world: World): void {
+function createQueue(world: World): void {
   world.store = new FaultyStore();
-  world.told = [];
+  world.reported = [];
   world.durable = [];
   function changed(condition: string): void {
-    world.told.push(condition);
+    world.reported.push(condition);
   }
   world.queue = new WriteQueue(world.store, changed);
 }
 
-function refusing(this: World, count: number): void {
-  aQueue(this);
-  this.store.refuses = count;
+function refuseCommits(this: World, count: number): void {
+  createQueue(this);
+  this.store.refusals = count;
 }
-Given("a write queue on a disk that refuses {int} commits", refusing);
+Given("a write queue on a disk that refuses {int} commits", refuseCommits);
 
-function silent(this: World): void {
-  aQueue(this);
+function notResponding(this: World): void {
+  createQueue(this);
   this.store.isHeld = true;
 }
-Given("a write queue on a disk that does not answer", silent);
+Given("a write queue on a disk that does not respond", notResponding);
 
 function add(world: World, number: number): Promise<void> {
   function begin(resolve: () => void): void {
@@ -78,64 +79,65 @@
   function atOnce(): void {
     for (let number = 1; number <= count; number += 1) writes.push(add(world, number));
   }
-  /** The first commit takes what is there when the loop comes to it, so one write goes before. */
+  // The first commit takes the jobs that exist when it starts, so one write is added before the others.
   this.store.isHeld = true;
   const first = add(this, 0);
   atOnce();
   this.store.isHeld = false;
-  this.store.letGo();
+  this.store.release();
   await Promise.all([first, ...writes]);
   equal(queue.condition, "writable");
-  this.store.tried.shift();
+  this.store.attempts.shift();
   this.durable.shift();
 }
 When("{int} writes are added at once", addAll);
 
-function tried(this: World, counts: string): void {
-  deepEqual(this.store.tried, counts.split(", ").map(Number));
+function attempts(this: World, counts: string): void {
+  deepEqual(this.store.attempts, counts.split(", ").map(Number));
 }
-Then(/^the commits that were tried hold ([\d, ]+) writes$/, tried);
+Then(/^the commits that were tried hold ([\d, ]+) writes$/, attempts);
 
-function inOrder(this: World): void {
+function durableInOrder(this: World): void {
   deepEqual(this.durable, [1, 2, 3]);
 }
-Then("each write is told as durable once, in order", inOrder);
+Then("each write is reported as durable once, in order", durableInOrder);
 
-function toldOf(this: World, conditions: string): void {
-  equal(this.told.join(", "), conditions);
+function reportedConditions(this: World, conditions: string): void {
+  equal(this.reported.join(", "), conditions);
 }
-Then("the queue told {string}", toldOf);
+Then("the queue reported {string}", reportedConditions);
 
-function toldNothing(this: World): void {
-  deepEqual(this.told, []);
+function reportedNothing(this: World): void {
+  deepEqual(this.reported, []);
 }
-Then("the queue told nothing", toldNothing);
+Then("the queue reported nothing", reportedNothing);
 
-function inBeats(this: World, milliseconds: string, beat: string): void {
+function passInTicks(this: World, milliseconds: string, interval: string): void {
   void add(this, 1);
   const start = performance.now();
-  const lasts = Number(milliseconds.replace(",", ""));
-  for (let passed = 0; passed <= lasts; passed += Number(beat)) this.queue.beat(start + passed);
+  const durationMs = Number(milliseconds.replace(",", ""));
+  for (let passed = 0; passed <= durationMs; passed += Number(interval))
+    this.queue.beat(start + passed);
 }
-When(/^a write is added and ([\d,]+) ms pass in beats of (\d+) ms$/, inBeats);
+When(/^a write is added and ([\d,]+) ms pass in beats of (\d+) ms$/, passInTicks);
 
-function inOneBeat(this: World, milliseconds: string): void {
+function passInOneTick(this: World, milliseconds: string): void {
   void add(this, 1);
   const start = performance.now();
   this.queue.beat(start);
   this.queue.beat(start + Number(milliseconds.replace(",", "")));
 }
-When(/^a write is added and ([\d,]+) ms pass in one beat$/, inOneBeat);
+When(/^a write is added and ([\d,]+) ms pass in one beat$/, passInOneTick);
 
-async function answers(this: World): Promise<void> {
-  this.store.letGo();
+async function respond(this: World): Promise<void> {
+  this.store.release();
   function begin(resolve: () => void): void {
     setImmediate(resolve);
   }
   await new Promise<void>(begin);
 }
-When("the disk answers", answers);
+When("the disk responds", respond);
 
 function nothing(): void {
-  // These writes have no contents.
+  // These writes have no content.
 }
