--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -1,4 +1,4 @@
-/** An access node without I/O: events in, commands to its shell out (docs/design.md §5, §6, §13). */
+/** The core of an access node, without I/O: it takes events and returns commands for its shell (docs/design.md §5, §6, §13). */
 import { policy, type Policy, type RunnerCard, type Telling } from "@chutewick/parts";
 import { newAccessCounts, type AccessCounts } from "./access-counts.js";
 import type { AccessOutput, GoEvent } from "./access-output.js";
@@ -19,15 +19,15 @@
 import { RunnerSelection } from "./runner-selection.js";
 import { AccessUsage } from "./usage/access-usage.js";
 
-/** What operators are shown of an access node. */
+/** Status of an access node, as operators see it. */
 export interface AccessStatus {
   readonly identity: string;
   readonly zone: string;
-  /** Number of the last change of control state that it applied. */
+  /** Index of the last entry of the control feed that it applied. */
   readonly place: number;
-  /** Number of its configuration. */
+  /** Version of its configuration. */
   readonly configuration: number;
-  /** ms for which its lease still holds. */
+  /** Remaining time (ms) of its lease. */
   readonly leaseLeft: number;
   /** Live requests under way. */
   readonly live: number;
@@ -37,19 +37,19 @@
   readonly runners: readonly RunnerCard[];
 }
 
-/** One access node: routes events to the parts that do its jobs. */
+/** One access node: dispatches events to the parts that handle them. */
 export class AccessCore {
   readonly membership: Membership;
-  /** Which runner a request on a passage goes to (§13.4). */
+  /** Chooses the runners of requests on passages (§13.4). */
   readonly choice: Choice;
-  /** Lots of passages (§13.7). */
+  /** Lots (batch jobs) of passages (§13.7). */
   readonly lots: PassLots;
   /** Live requests on passages (§13.5). */
   readonly relay: RelayCore;
-  /** Requests that began to run, by window and tenant (§14.2). */
+  /** Counts started requests by usage window and tenant (§14.2). */
   readonly usage: AccessUsage;
   readonly counts: AccessCounts = newAccessCounts();
-  #standing: Standing;
+  #nodeIdentity: Standing;
   #pendingCalls: PendingCalls;
   #controlCalls: ControlCalls;
   #admission: Admission;
@@ -61,24 +61,24 @@
   #now: number;
 
   constructor(
-    standing: Standing,
+    nodeIdentity: Standing,
     seeds: readonly string[],
     now: number,
-    chosen: Policy = policy.usual,
+    nodePolicy: Policy = policy.usual,
   ) {
-    this.#standing = standing;
+    this.#nodeIdentity = nodeIdentity;
     this.#now = now;
-    const telling = (): Telling => this.#telling();
-    const membership = new Membership(standing, seeds, now, telling, chosen);
+    const buildReport = (): Telling => this.#buildReport();
+    const membership = new Membership(nodeIdentity, seeds, now, buildReport, nodePolicy);
     this.membership = membership;
-    this.choice = new Choice(membership, standing);
+    this.choice = new Choice(membership, nodeIdentity);
     const pendingCalls = new PendingCalls(membership);
     const nextTicket = (): string => pendingCalls.ticket();
     this.#pendingCalls = pendingCalls;
     this.#controlCalls = new ControlCalls(membership, nextTicket);
     this.#admission = new Admission(membership);
     this.#attempts = new Attempts(membership);
-    const parts = {
+    const dependencies = {
       membership,
       pendingCalls,
       controlCalls: this.#controlCalls,
@@ -87,16 +87,16 @@
       selection: new RunnerSelection(membership, this.#attempts),
       counts: this.counts,
     };
-    this.#liveRequests = new LiveRequests(parts);
-    this.#lotRequests = new LotRequests(parts);
-    this.#registrations = new RunnerRegistrations(parts, now);
-    this.#dispatcher = new PromptDispatcher(parts);
-    this.usage = new AccessUsage(standing.identity, chosen.usageWindow);
-    this.relay = new RelayCore(membership, this.choice, chosen, this.usage.counter);
+    this.#liveRequests = new LiveRequests(dependencies);
+    this.#lotRequests = new LotRequests(dependencies);
+    this.#registrations = new RunnerRegistrations(dependencies, now);
+    this.#dispatcher = new PromptDispatcher(dependencies);
+    this.usage = new AccessUsage(nodeIdentity.identity, nodePolicy.usageWindow);
+    this.relay = new RelayCore(membership, this.choice, nodePolicy, this.usage.counter);
     this.lots = new PassLots(membership, this.choice, pendingCalls, this.relay);
   }
 
-  #telling(): Telling {
+  #buildReport(): Telling {
     return {
       runners: this.#registrations.cards(this.#now),
       lots: this.#attempts.promptsByRunner(),
@@ -105,29 +105,30 @@
     };
   }
 
-  /** Number of works and calls that a planned stop waits for. */
+  /** Number of requests, items and calls that a planned stop waits for. */
   get busy(): number {
     return this.running + this.#pendingCalls.size;
   }
 
-  /** Number of requests and items under way; calls to queue owners are left out, since an idle node always has draws there. */
+  /** Number of requests and items under way. Calls to queue owners do not count: even an idle node always has dequeue calls there. */
   get running(): number {
     return this.#attempts.size + this.relay.busy + this.lots.dispatcher.underWay;
   }
 
-  /** A planned stop: no new work; what is under way goes on. */
+  /** Begins a planned stop: no new work is fetched, and what is under way continues. */
   leave(now: number): AccessOutput[] {
     this.#admission.leave();
     this.lots.leave();
     return this.membership.leave(now);
   }
 
-  /** Later in a planned stop: whatever is new is refused. */
+  /** Refuses all new requests and items, in the later part of a planned stop. */
   refuseNew(): void {
     this.relay.refuseNew();
     this.lots.refuseNew();
   }
 
+  /** Handles a message from another node. */
   receive(message: DataMessage, from: string, now: number): AccessOutput[] {
     this.#now = now;
     switch (message.kind) {
@@ -152,7 +153,7 @@
       case "fellow-tell":
         return this.membership.peer(message, from, now);
       case "queue-result":
-        return this.#queueResult(message, now);
+        return this.#handleQueueResult(message, now);
       case "lot-ended":
         return this.lots.dropped(message.lot, now);
       case "control-result":
@@ -162,7 +163,7 @@
     }
   }
 
-  #queueResult(
+  #handleQueueResult(
     { ticket, outcome, held }: Extract<DataMessage, { kind: "queue-result" }>,
     now: number,
   ): AccessOutput[] {
@@ -172,6 +173,7 @@
     );
   }
 
+  /** Runs periodic work: heartbeats, timeouts and retries. */
   beat(now: number, wallClock: number): AccessOutput[] {
     this.#now = now;
     this.#lotRequests.observeWallClock(wallClock);
@@ -187,7 +189,7 @@
     return outputs;
   }
 
-  /** A live request of a route; the path is told where it was made with GET (§6). */
+  /** Handles a new live request on a route. `path` is given for GET requests only (§6). */
   arrive(
     ticket: string,
     routeName: string,
@@ -199,34 +201,34 @@
     return this.#liveRequests.arrive({ ticket, routeName, body, path }, now);
   }
 
-  /** The caller of a live request left. */
+  /** Abandons the live request of a caller that disconnected. */
   left(ticket: string): AccessOutput[] {
-    return this.#liveRequests.left(ticket);
+    return this.#liveRequests.callerLeft(ticket);
   }
 
-  /** Asked at the last moment before the first byte of an attempt; undefined where it may be sent. */
+  /** Checks an attempt right before its first byte is sent. @returns why it must not be sent; undefined where it may be */
   mayStart(attempt: number, now: number): string | undefined {
     return this.#attempts.mayStart(attempt, now);
   }
 
-  /** What the link to a runner tells of an attempt. */
+  /** Handles an event of the connection on which an attempt of a route runs. */
   goEvent(attempt: number, event: GoEvent, now: number): AccessOutput[] {
     this.#now = now;
     const job = this.#attempts.get(attempt)?.job;
     if (job === undefined) return [];
     return job.kind === "live"
-      ? this.#liveRequests.attemptEvent(attempt, job, event, now)
+      ? this.#liveRequests.handleAttemptEvent(attempt, job, event, now)
       : this.#dispatcher.attemptEvent(attempt, job, event, now);
   }
 
-  /** The same as `mayStart` for what runs on passages. */
+  /** The same as `mayStart`, for attempts on passages. */
   mayPass(attempt: number, now: number): string | undefined {
     return this.lots.has(attempt)
       ? this.lots.mayStart(attempt, now)
       : this.relay.mayStart(attempt, now);
   }
 
-  /** The same as `goEvent` for what runs on passages. */
+  /** Handles an event of the connection on which an attempt on a passage runs. */
   passEvent(attempt: number, event: PassEvent, now: number): AccessOutput[] {
     this.#now = now;
     return this.lots.has(attempt)
@@ -234,17 +236,17 @@
       : this.relay.goEvent(attempt, event, now);
   }
 
-  /** A runner says that it is there (§7.5). */
+  /** Handles a runner's announcement of itself (§7.5). */
   announce(ticket: string, card: Omit<RunnerCard, "age">, now: number): AccessOutput[] {
     return this.#registrations.announce(ticket, card, now);
   }
 
-  /** A runner says that this incarnation of it takes no more work (§7.5). */
+  /** Handles a runner's deregistration: this incarnation accepts no more work (§7.5). */
   deregister(ticket: string, runner: string, incarnation: number, now: number): AccessOutput[] {
     return this.#registrations.deregister(ticket, runner, incarnation, now);
   }
 
-  /** A lot of a route, as it came (§5). */
+  /** Handles the submission of a lot (a batch job) on a route; its fields are not validated yet (§5). */
   handIn(
     ticket: string,
     routeName: string,
@@ -256,20 +258,21 @@
     return this.#lotRequests.handIn({ ticket, routeName, key, items, labels }, now);
   }
 
-  /** The state of a lot of a route. */
+  /** Looks up the state of a lot. */
   lookUp(ticket: string, lot: string, now: number): AccessOutput[] {
     return this.#lotRequests.lookUp(ticket, lot, now);
   }
 
-  /** Cancels a lot of a route. */
+  /** Cancels a lot. */
   cancel(ticket: string, lot: string, now: number): AccessOutput[] {
     return this.#lotRequests.cancel(ticket, lot, now);
   }
 
+  /** Returns the status for operators. */
   status(now: number): AccessStatus {
     return {
-      identity: this.#standing.identity,
-      zone: this.#standing.zone,
+      identity: this.#nodeIdentity.identity,
+      zone: this.#nodeIdentity.zone,
       place: this.membership.follower.place,
       configuration: this.membership.configuration.mark,
       leaseLeft: Math.round(this.membership.leaseLeft(now)),
--- a/packages/data/src/access-counts.ts
+++ b/packages/data/src/access-counts.ts
@@ -1,14 +1,16 @@
-/** What an access node counted since its start; /status and /metrics show it under these names, in this order. */
+/** Counters of an access node since its start; /status and /metrics show them under these names, in this order. */
 export interface AccessCounts {
   /** Live requests that arrived. */
   live: number;
-  /** Live requests with a whole result. */
+  /** Live requests with a complete result. */
   done: number;
   /** Requests refused with the promise that they did not run. */
   notRun: number;
+  /** Live requests that failed and may have run. */
   mayHaveRun: number;
+  /** Live requests whose runner reported a failure. */
   runnerFailed: number;
-  /** Prompts drawn from queues, and how they ended. */
+  /** Prompts dequeued, followed by their outcomes. */
   popped: number;
   solved: number;
   troubled: number;
@@ -16,7 +18,7 @@
   broken: number;
 }
 
-/** Counts of a node that has just started. */
+/** Counters of a node that has just started. */
 export function newAccessCounts(): AccessCounts {
   return {
     live: 0,
--- a/packages/data/src/access-desk.ts
+++ b/packages/data/src/access-desk.ts
@@ -1,45 +1,56 @@
+/** The API of an access node towards its protocol adapters (docs/design.md §13.2). */
 import type { CallerLimits } from "@chutewick/parts";
 import type { PassRequest } from "./dialect.js";
 import type { LotCall, LotHandedIn, LotReading, LotTold } from "./pass.js";
 
-/** What an interface (ours or an adapter's) may ask of an access node (docs/design.md §13.2). */
+/** Receives the result of a live request on a passage, part by part. */
 export interface PassCaller {
+  /** Response head; header names and values alternate. */
   head(status: number, headers: readonly string[]): void;
   bytes(bytes: Uint8Array): void;
   end(): void;
-  /** The result breaks off: the caller must see that it is not whole. */
+  /** The result ends early; the adapter must make it recognizable as incomplete. */
   cut(): void;
-  /** Our own final word; retryAfter in s. */
+  /** The node's own final answer in place of a runner's result. retryAfter in s. */
   refused(status: number, retryAfter: number | undefined, reason: string): void;
 }
 
-export type LotCaller = (told: LotTold) => void;
+/** Receives the reply to a call on a lot (a batch job). */
+export type LotCaller = (reply: LotTold) => void;
 
+/** Calls that a protocol adapter may make. Those that start a request return its ticket. */
 export interface AccessDesk {
-  /** Whether new callers are to be sent here. */
+  /** Whether new callers should be routed to this node. */
   isReady(): boolean;
-  /** What callers may send and how long they may take, by the configuration known here. */
+  /** Size and time limits for callers, from the configuration known to this node. */
   callerLimits(): CallerLimits;
-  /** Whether what is posted there is a lot, by the configuration known here. */
+  /** Whether a POST to this host and path submits a lot, by the configuration known to this node. */
   takesLots(host: string, path: string): boolean;
+  /** Starts a live request on a passage. */
   pass(request: PassRequest, caller: PassCaller): string;
+  /** Submits a lot. */
   handIn(lot: LotHandedIn, caller: LotCaller): string;
-  readLot(call: LotCall, reading: LotReading, caller: LotCaller): string;
+  /** Reads results of a lot. */
+  readLot(call: LotCall, query: LotReading, caller: LotCaller): string;
+  /** Reads the input of one item of a lot. */
   readItem(call: LotCall, item: string, caller: LotCaller): string;
+  /** Ends a lot; the rest of it no longer runs. */
   endLot(call: LotCall, caller: LotCaller): string;
-  /** The caller left. */
+  /** The caller disconnected. */
   left(ticket: string): void;
-  /** The caller reads slowly, or again. */
+  /** The caller reads slowly: pauses the result. */
   slow(ticket: string): void;
+  /** The caller reads again: resumes the result. */
   ready(ticket: string): void;
 }
 
-/** An interface towards callers that stands beside our own. */
+/** A protocol adapter: an additional interface towards callers. */
 export interface AccessFront {
-  open(desk: AccessDesk): Promise<void>;
-  /** Requests whose answers have not been written whole. */
+  /** Starts to accept callers. */
+  open(api: AccessDesk): Promise<void>;
+  /** Number of requests whose responses are not completely written. */
   readonly underWay: number;
-  /** A planned stop begins: each connection ends with its next answer. */
+  /** A planned stop begins: each connection is closed after its next response. */
   leave(): void;
   close(): Promise<void>;
 }
--- a/packages/data/src/access-jobs.ts
+++ b/packages/data/src/access-jobs.ts
@@ -1,4 +1,4 @@
-/** What an access node runs on runners by way of a route: live requests, and prompts drawn from queues. */
+/** The jobs that an access node runs on runners for routes: live requests, and prompts dequeued from queues. */
 import type { Way } from "@chutewick/control";
 import type { Selector } from "@chutewick/parts";
 import type { RunnerRequestBody, Work } from "./access-output.js";
@@ -10,49 +10,49 @@
   readonly route: Way;
   readonly work: Work;
   readonly triedRunners: Set<string>;
-  /** Runners tried though they looked full. */
+  /** Number of runners tried although they appeared to be full. */
   fullRunnersTried: number;
-  /** s after which the soonest of those that refused for want of a seat is to be asked again. */
+  /** Shortest Retry-After (s) of the runners that refused the request for lack of a free slot. */
   retryAfter: number | undefined;
-  /** The caller was told that a stream begins. */
+  /** Whether the caller has received the head of a stream. */
   isStreamOpen: boolean;
-  /** Number of the piece that comes next. */
+  /** Number of the next expected piece. */
   nextPiece: number;
 }
 
-/** A prompt of a lot, drawn from its queue (docs/design.md §5). */
+/** A prompt of a lot (a batch job), dequeued for running (docs/design.md §5). */
 export interface DrawnPrompt {
   readonly kind: "prompt";
   readonly queue: string;
   readonly lot: string;
   readonly index: number;
-  /** Fencing token: only its holder may record how the prompt ended. */
+  /** Fencing token: only its holder may record the outcome of the prompt. */
   readonly claim: number;
   readonly prompt: unknown;
   readonly routeName: string;
-  /** Which runners the season of its lot chose. */
+  /** Selectors of the runners on which the season of the lot allows it to run. */
   readonly selectors: readonly Selector[];
-  /** Moment (ms, monotonic) from which it may not be begun any more. */
+  /** Monotonic time (ms) from which the prompt must not be started any more. */
   readonly grantedUntil: number;
   readonly triedRunners: Set<string>;
   readonly pieces: unknown[];
-  /** When it last showed that it is worked on. */
+  /** Monotonic time (ms) of the last sign that a runner works on the prompt. */
   lastProgressAt: number;
 }
 
-/** What an attempt runs. */
+/** The job that an attempt runs. */
 export type Job = LiveRequest | DrawnPrompt;
 
-/** What a runner is asked for. */
+/** A prompt with the model that it needs. */
 export interface PromptToRun {
-  /** Id of the request, by which the runner names its result. */
+  /** Id of the request; the runner repeats it in its result. */
   readonly request: string;
   readonly model: string | undefined;
   readonly adapter: string | undefined;
   readonly prompt: unknown;
 }
 
-/** The body of a request to a runner. */
+/** Builds the JSON body of a request to a runner. */
 export function runnerRequestBody({
   request,
   model,
--- a/packages/data/src/access-output.ts
+++ b/packages/data/src/access-output.ts
@@ -1,4 +1,4 @@
-/** What an access node's core asks of its shell, and what links to runners tell the core (docs/design.md §5, §6). */
+/** Commands of an access node's core to its shell, and events of connections to runners (docs/design.md §5, §6). */
 import type { ErrorBody } from "./error-reply.js";
 import type { PassOutput } from "./pass.js";
 import type { DataMessage } from "./queue-messages.js";
@@ -28,7 +28,10 @@
     }
   | { readonly kind: "stream-close"; readonly ticket: string; readonly pieces: number }
   | { readonly kind: "stream-trouble"; readonly ticket: string; readonly body: ErrorBody }
-  /** Send to a runner; `mayStart(go)` is asked again at the last moment before the first byte. silence in ms. */
+  /**
+   * Sends work to a runner. `go` numbers the attempt; `mayStart(go)` is called once more right before the first byte is sent.
+   * The attempt fails after `silence` ms without data from the runner.
+   */
   | {
       readonly kind: "run";
       readonly go: number;
@@ -36,11 +39,13 @@
       readonly work: Work;
       readonly silence: number;
     }
+  /** Closes the connection of an attempt whose result is no longer needed. */
   | { readonly kind: "abandon"; readonly go: number }
+  /** Logs a line and counts it; `text` is the label of the metric. */
   | { readonly kind: "note"; readonly text: string; readonly facts: Record<string, unknown> }
   | PassOutput;
 
-/** What a runner is sent for a live request or a drawn prompt. */
+/** The work that is sent to a runner for a live request or a dequeued prompt. */
 export type Work =
   | { readonly kind: "stream"; readonly request: string; readonly body: RunnerRequestBody }
   | { readonly kind: "one-shot"; readonly request: string; readonly body: RunnerRequestBody }
@@ -54,20 +59,24 @@
   readonly prompt: unknown;
 };
 
-/** What a runner's link tells of one attempt. */
+/** An event of the connection on which one attempt runs. */
 export type GoEvent =
-  /** No byte went out. */
+  /** The attempt failed before its first byte was sent. */
   | { readonly kind: "unsent"; readonly reason: string }
-  /** The runner said outright that it did not take it. retryAfter in s. */
+  /** The runner rejected the work and did not run it. retryAfter in s. */
   | { readonly kind: "refused"; readonly retryAfter: number }
-  /** The runner said that it failed. */
+  /** The runner reported that the work failed. */
   | { readonly kind: "troubled"; readonly reason: string }
-  /** Bytes went out, and no whole result came back. */
+  /** Bytes were sent, and no complete result was received: the work may have run. */
   | { readonly kind: "broken"; readonly reason: string }
+  /** The runner started a stream. */
   | { readonly kind: "opened" }
   | { readonly kind: "piece"; readonly number: number; readonly data: unknown }
+  /** The runner ended the stream, and states how many pieces it sent. */
   | { readonly kind: "closed"; readonly pieces: number }
+  /** The complete JSON result. */
   | { readonly kind: "whole"; readonly value: unknown }
+  /** The complete result of a fetch. */
   | {
       readonly kind: "bytes";
       readonly status: number;
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -1,3 +1,4 @@
+/** The access process: connects the core to callers, runners and other nodes (docs/design.md §10). */
 import { randomUUID } from "node:crypto";
 import type { ServerResponse } from "node:http";
 import {
@@ -46,8 +47,8 @@
 import { WarmUp, type WarmUpResult } from "./warm-up/warm-up.js";
 import type { WarmUpSample } from "./warm-up/warm-up-sample.js";
 
-/** The access process: callers, runners and links round the core (docs/design.md §10). */
-const announcement = z.strictObject({
+/** Body of a runner's announcementSchema. */
+const announcementSchema = z.strictObject({
   id: z.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/),
   incarnation: z.int().min(1),
   url: z.url({ protocol: /^http$/ }),
@@ -59,51 +60,56 @@
   burden: z.number().min(0).max(1_000_000),
 });
 
+/** Optional extensions of an access process. */
 export interface AccessExtras {
-  /** How runners are spoken to on passages; ours where none is given. */
+  /** Protocol adapter for runners of passages; the native protocol by default. */
   readonly dialect?: RunnerDialect;
+  /** Protocol adapters for callers, beside the built-in HTTP interface. */
   readonly fronts?: readonly AccessFront[];
-  /** Sample messages for a warm-up (§13.9); none is made where they are left out. */
+  /** Sample messages for a warm-up (§13.9); without them there is none. */
   readonly warmUp?: WarmUpSample;
 }
 
-const farewell = z.strictObject({ incarnation: z.int().min(1) });
+/** Body of a runner's deregistration. */
+const deregistrationSchema = z.strictObject({ incarnation: z.int().min(1) });
 
+/** One access process. */
 export class AccessProcess {
   #log: Log;
   #core: AccessCore;
   #wire: Wire;
   #gateway: Gateway;
-  #links: Links;
+  #connections: Links;
   #beat = new Beat({ isIdle: () => this.#isIdle });
-  #waiting = new Map<string, ServerResponse>();
-  #passing = new PassCallers();
+  /** Open HTTP responses by ticket. */
+  #responses = new Map<string, ServerResponse>();
+  #passageCallers = new PassCallers();
   #lotCallers = new Map<string, LotCaller>();
-  #fronts: readonly AccessFront[];
-  #passLinks: PassConnections;
+  #adapters: readonly AccessFront[];
+  #passageConnections: PassConnections;
   #membershipLog: MembershipLog;
   #relay: RelayCore;
-  #stop: PlannedStop | undefined;
-  #dialect: RunnerDialect;
-  /** Until it begins. */
+  #plannedStop: PlannedStop | undefined;
+  #protocol: RunnerDialect;
+  /** Sample messages of a warm-up that has not begun yet. */
   #warmUpSample: WarmUpSample | undefined;
   #ticketPrefix = randomUUID().slice(0, 8);
   #ticketNumber = 0;
 
   private constructor(settings: Settings, log: Log, extras: AccessExtras) {
     this.#log = log;
-    this.#fronts = extras.fronts ?? [];
-    this.#dialect = extras.dialect ?? ownDialect;
+    this.#adapters = extras.fronts ?? [];
+    this.#protocol = extras.dialect ?? ownDialect;
     this.#warmUpSample = extras.warmUp;
     const self = this;
     function receive(message: unknown, from: string): void {
       self.#perform(self.#core.receive(message as DataMessage, from, monotonic()));
     }
-    function mayStart(go: number): string | undefined {
-      return self.#core.mayStart(go, monotonic());
+    function mayStart(attempt: number): string | undefined {
+      return self.#core.mayStart(attempt, monotonic());
     }
-    function told(go: number, event: GoEvent): void {
-      self.#perform(self.#core.goEvent(go, event, monotonic()));
+    function onRunnerEvent(attempt: number, event: GoEvent): void {
+      self.#perform(self.#core.goEvent(attempt, event, monotonic()));
     }
     const identity = `${settings.name}-${randomUUID()}`;
     this.#core = new AccessCore(
@@ -119,31 +125,31 @@
       monotonic(),
       configured.policyOf(settings),
     );
-    this.#links = new Links(mayStart, told);
-    function mayPass(go: number): string | undefined {
-      return self.#core.mayPass(go, monotonic());
+    this.#connections = new Links(mayStart, onRunnerEvent);
+    function mayStartOnPassage(attempt: number): string | undefined {
+      return self.#core.mayPass(attempt, monotonic());
     }
-    function passed(go: number, event: PassEvent): void {
-      self.#perform(self.#core.passEvent(go, event, monotonic()));
+    function onPassageEvent(attempt: number, event: PassEvent): void {
+      self.#perform(self.#core.passEvent(attempt, event, monotonic()));
     }
-    function share(address: string): number {
+    function connectionLimit(address: string): number {
       return self.#core.choice.share(address);
     }
     this.#membershipLog = new MembershipLog(this.#core.membership);
     this.#relay = this.#core.relay;
-    this.#passLinks = new PassConnections({
-      dialect: this.#dialect,
-      mayStart: mayPass,
-      told: passed,
-      share,
+    this.#passageConnections = new PassConnections({
+      dialect: this.#protocol,
+      mayStart: mayStartOnPassage,
+      told: onPassageEvent,
+      share: connectionLimit,
       now: monotonic,
     });
-    this.#core.choice.useConnections((address) => this.#passLinks.openTo(address));
+    this.#core.choice.useConnections((address) => this.#passageConnections.openTo(address));
     this.#wire = createWire(settings, log, receive);
     this.#gateway = new Gateway({
       address: settings.http,
       log,
-      owners: [this.#owner()],
+      owners: [this.#createHandlers()],
       openings: [
         ...operatorOpenings,
         { method: "POST", path: "/ways/:way", event: "inquiry.arrived" },
@@ -157,23 +163,24 @@
     });
   }
 
+  /** Starts an access process, and resolves once it listens. */
   static async open(
     settings: Settings,
     log: Log,
     extras: AccessExtras = {},
   ): Promise<Outcome<AccessProcess>> {
     const access = new AccessProcess(settings, log, extras);
-    const trouble = await listen(access.#wire, access.#gateway);
-    if (trouble !== undefined) return outcome.bad(trouble);
-    function strike(now: number): void {
+    const failure = await listen(access.#wire, access.#gateway);
+    if (failure !== undefined) return outcome.bad(failure);
+    function tick(now: number): void {
       access.#perform(access.#core.beat(now, Date.now()));
-      access.#logStanding(now);
+      access.#logMembership(now);
       access.#wire.beat(now);
-      access.#passLinks.beat(now);
+      access.#passageConnections.beat(now);
       access.#beginWarmUp(now);
     }
-    access.#beat.start(strike);
-    for (const front of access.#fronts) await front.open(access.#desk());
+    access.#beat.start(tick);
+    for (const adapter of access.#adapters) await adapter.open(access.#createApi());
     log.info(
       { wire: settings.wire, http: settings.http, startedIn: Math.round(performance.now()) },
       "access node is up",
@@ -181,76 +188,81 @@
     return outcome.good(access);
   }
 
-  #logStanding(now: number): void {
+  #logMembership(now: number): void {
     const changed = this.#membershipLog.changed(now);
-    if (changed !== undefined) this.#log.info(changed, "standing with control changed");
+    if (changed !== undefined) this.#log.info(changed, "membership state changed");
   }
 
   #logRefusal({ status, reason }: Extract<PassOutput, { kind: "pass-refused" }>): void {
-    const standing = this.#membershipLog.refused(status, monotonic());
-    if (standing !== undefined)
-      this.#log.info({ status, reason, ...standing }, "a caller was refused by the configuration");
+    const membershipState = this.#membershipLog.refused(status, monotonic());
+    if (membershipState !== undefined)
+      this.#log.info(
+        { status, reason, ...membershipState },
+        "refused a caller according to the configuration",
+      );
   }
 
-  /** Once this node serves and as long as no caller has come: whoever is served is served first. */
+  /** Begins the warm-up once this node may serve, unless a caller has already arrived: callers take precedence. */
   #beginWarmUp(now: number): void {
     const sample = this.#warmUpSample;
     if (sample === undefined || !this.#core.membership.serves(now)) return;
     this.#warmUpSample = undefined;
-    const isWanted = (): boolean => this.#ticketNumber === 0 && this.#stop === undefined;
+    const isWanted = (): boolean => this.#ticketNumber === 0 && this.#plannedStop === undefined;
     const log = this.#log;
     function done(result: WarmUpResult): void {
-      log.info(result, "the warm-up is over");
+      log.info(result, "warm-up finished");
     }
     function failed(error: Error): void {
-      log.warn({ reason: error.message }, "the warm-up failed");
+      log.warn({ reason: error.message }, "warm-up failed");
     }
-    if (isWanted()) new WarmUp(this.#dialect, sample).run(isWanted).then(done, failed);
+    if (isWanted()) new WarmUp(this.#protocol, sample).run(isWanted).then(done, failed);
   }
 
-  /** Planned stop: new work goes elsewhere, and what is under way is answered within its bound. */
+  /** Performs a planned stop: new work is routed elsewhere, and what is under way is answered within the time limit. */
   async close(): Promise<void> {
-    const begun = monotonic();
+    const startedAt = monotonic();
     const { stopWithin } = this.#core.membership.policy;
-    const stop = new PlannedStop(stopTimes(stopWithin, this.#fronts.length > 0), begun);
-    this.#stop = stop;
-    this.#perform(this.#core.leave(begun));
+    const stop = new PlannedStop(stopTimes(stopWithin, this.#adapters.length > 0), startedAt);
+    this.#plannedStop = stop;
+    this.#perform(this.#core.leave(startedAt));
     this.#gateway.leave();
-    for (const front of this.#fronts) front.leave();
-    const isClosed = (): boolean => this.#goOnStopping(stop);
+    for (const adapter of this.#adapters) adapter.leave();
+    const isClosed = (): boolean => this.#advanceStop(stop);
     await settled(isClosed);
     const closing = [this.#gateway.close()];
-    for (const front of this.#fronts) closing.push(front.close());
+    for (const adapter of this.#adapters) closing.push(adapter.close());
     await Promise.all(closing);
     this.#beat.stop();
-    this.#passLinks.close();
+    this.#passageConnections.close();
     this.#wire.close();
   }
 
-  /** @returns whether all is answered, or no time is left */
-  #goOnStopping(stop: PlannedStop): boolean {
+  /** Advances a planned stop. @returns whether everything is answered, or the time is over */
+  #advanceStop(stop: PlannedStop): boolean {
     const now = monotonic();
-    const before = stop.phase;
+    const previousPhase = stop.phase;
     const phase = stop.advance(now, this.#underWay);
-    if (phase === before) return phase === "closed";
-    this.#log.info({ phase, underWay: this.#underWay }, "the planned stop goes on");
+    if (phase === previousPhase) return phase === "closed";
+    this.#log.info({ phase, underWay: this.#underWay }, "planned stop entered its next phase");
     this.#core.refuseNew();
     if (phase === "last-answers") this.#giveLastAnswers(now);
     return phase === "closed";
   }
 
-  /** Whether nothing is under way for callers, for items or at runners. */
+  /** Whether no request, item or call of a caller is under way. */
   get #isIdle(): boolean {
-    if (this.#stop !== undefined || this.#core.running > 0) return false;
-    return this.#waiting.size === 0 && this.#lotCallers.size === 0;
+    if (this.#plannedStop !== undefined || this.#core.running > 0) return false;
+    return this.#responses.size === 0 && this.#lotCallers.size === 0;
   }
 
+  /** Number of requests, items, calls and responses that a planned stop waits for. */
   get #underWay(): number {
     let underWay = this.#core.busy + this.#gateway.underWay;
-    for (const front of this.#fronts) underWay += front.underWay;
+    for (const adapter of this.#adapters) underWay += adapter.underWay;
     return underWay;
   }
 
+  /** Answers all remaining callers at the end of a planned stop. */
   #giveLastAnswers(now: number): void {
     this.#perform(this.#relay.giveLastAnswers(now));
     for (const [ticket, caller] of [...this.#lotCallers]) {
@@ -259,10 +271,10 @@
     }
   }
 
-  /** What an interface beside our own may ask (§13.2). */
-  #desk(): AccessDesk {
+  /** Creates the API for protocol adapters (§13.2). */
+  #createApi(): AccessDesk {
     const self = this;
-    function next(): string {
+    function nextTicket(): string {
       self.#ticketNumber += 1;
       return `${self.#ticketPrefix}-${self.#ticketNumber}`;
     }
@@ -270,44 +282,47 @@
       return self.#relay.passages.find(host, path)?.passage.kind === "lot";
     }
     function pass(request: PassRequest, caller: PassCaller): string {
-      const ticket = next();
-      self.#passing.add(ticket, caller);
+      const ticket = nextTicket();
+      self.#passageCallers.add(ticket, caller);
       self.#perform(self.#relay.arrive(ticket, request, monotonic()));
       return ticket;
     }
-    function asked(caller: LotCaller, ask: (ticket: string) => readonly AccessOutput[]): string {
-      const ticket = next();
+    function startCall(
+      caller: LotCaller,
+      start: (ticket: string) => readonly AccessOutput[],
+    ): string {
+      const ticket = nextTicket();
       self.#lotCallers.set(ticket, caller);
-      self.#perform(ask(ticket));
+      self.#perform(start(ticket));
       return ticket;
     }
     function handIn(lot: LotHandedIn, caller: LotCaller): string {
-      function ask(ticket: string): readonly AccessOutput[] {
+      function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.handIn(ticket, lot, monotonic());
       }
-      return asked(caller, ask);
+      return startCall(caller, start);
     }
-    function readLot(call: LotCall, reading: LotReading, caller: LotCaller): string {
-      function ask(ticket: string): readonly AccessOutput[] {
-        return self.#core.lots.read(ticket, call, reading, monotonic());
+    function readLot(call: LotCall, query: LotReading, caller: LotCaller): string {
+      function start(ticket: string): readonly AccessOutput[] {
+        return self.#core.lots.read(ticket, call, query, monotonic());
       }
-      return asked(caller, ask);
+      return startCall(caller, start);
     }
     function readItem(call: LotCall, item: string, caller: LotCaller): string {
-      function ask(ticket: string): readonly AccessOutput[] {
+      function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.item(ticket, call, item, monotonic());
       }
-      return asked(caller, ask);
+      return startCall(caller, start);
     }
     function endLot(call: LotCall, caller: LotCaller): string {
-      function ask(ticket: string): readonly AccessOutput[] {
+      function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.end(ticket, call, monotonic());
       }
-      return asked(caller, ask);
+      return startCall(caller, start);
     }
     function left(ticket: string): void {
       if (self.#lotCallers.delete(ticket)) return;
-      if (self.#passing.remove(ticket)) self.#perform(self.#relay.left(ticket, monotonic()));
+      if (self.#passageCallers.remove(ticket)) self.#perform(self.#relay.left(ticket, monotonic()));
     }
     function slow(ticket: string): void {
       self.#perform(self.#relay.slow(ticket));
@@ -316,7 +331,7 @@
       self.#perform(self.#relay.ready(ticket));
     }
     function isReady(): boolean {
-      return self.#stop === undefined && self.#core.membership.serves(monotonic());
+      return self.#plannedStop === undefined && self.#core.membership.serves(monotonic());
     }
     function limitsOfCallers(): CallerLimits {
       return callerLimits.withUsual(self.#core.membership.configuration.value.callers);
@@ -336,8 +351,8 @@
     };
   }
 
-  /** Owner of all arrivals of this process: events in, commands out. */
-  #owner(): ServiceSchema {
+  /** Creates the service that handles all HTTP requests of this process. */
+  #createHandlers(): ServiceSchema {
     const self = this;
     function status(arrival: Arrival): void {
       reply(arrival.reply, 200, {
@@ -346,7 +361,7 @@
           ...self.#core.counts,
           ...self.#relay.counts,
           ...self.#core.usage.counts,
-          ...self.#passLinks.counts,
+          ...self.#passageConnections.counts,
           ...countsOfWire(self.#wire),
         },
         violations: {
@@ -355,7 +370,7 @@
         },
       });
     }
-    async function measured(arrival: Arrival): Promise<void> {
+    async function readMetrics(arrival: Arrival): Promise<void> {
       const { gos, live, leaseLeft } = self.#core.status(monotonic());
       reply(
         arrival.reply,
@@ -372,7 +387,7 @@
         }),
       );
     }
-    function request(arrival: Arrival): void {
+    function startRequest(arrival: Arrival): void {
       self.#perform(
         self.#core.arrive(
           self.#ticket(arrival),
@@ -383,7 +398,7 @@
         ),
       );
     }
-    function fetched(arrival: Arrival): void {
+    function startFetch(arrival: Arrival): void {
       const way = arrival.parameters["way"]!;
       const path = arrival.path.slice(`/ways/${way}`.length);
       self.#perform(
@@ -396,13 +411,13 @@
         ),
       );
     }
-    function handedIn(arrival: Arrival): void {
+    function submitLot(arrival: Arrival): void {
       const body = arrival.body as { key?: unknown; items?: unknown; labels?: unknown } | null;
-      const unknown = Object.keys(body ?? {}).filter(isNoField);
-      if (unknown.length > 0)
+      const unknownFields = Object.keys(body ?? {}).filter(isUnknownField);
+      if (unknownFields.length > 0)
         return replyTrouble(arrival.reply, 400, {
           trouble: "bad-body",
-          reason: `${unknown[0]}: is not a field of a lot`,
+          reason: `${unknownFields[0]}: is not a field of a lot`,
         });
       self.#perform(
         self.#core.handIn(
@@ -425,8 +440,8 @@
         self.#core.cancel(self.#ticket(arrival), arrival.parameters["lot"]!, monotonic()),
       );
     }
-    function announced(arrival: Arrival): void {
-      const checked = announcement.safeParse(arrival.body);
+    function announceRunner(arrival: Arrival): void {
+      const checked = announcementSchema.safeParse(arrival.body);
       if (!checked.success)
         return replyTrouble(arrival.reply, 400, {
           trouble: "bad-body",
@@ -435,7 +450,7 @@
       self.#perform(self.#core.announce(self.#ticket(arrival), checked.data, monotonic()));
     }
     function deregister(arrival: Arrival): void {
-      const checked = farewell.safeParse(arrival.body);
+      const checked = deregistrationSchema.safeParse(arrival.body);
       if (!checked.success)
         return replyTrouble(arrival.reply, 400, {
           trouble: "bad-body",
@@ -454,31 +469,33 @@
       name: "access",
       events: {
         "operator.status": status,
-        "operator.metrics": measured,
-        "inquiry.arrived": request,
-        "inquiry.fetch": fetched,
-        "lot.handed-in": handedIn,
+        "operator.metrics": readMetrics,
+        "inquiry.arrived": startRequest,
+        "inquiry.fetch": startFetch,
+        "lot.handed-in": submitLot,
         "lot.look-up": lookUp,
         "lot.cancel": cancel,
-        "runner.announced": announced,
+        "runner.announced": announceRunner,
         "runner.goodbye": deregister,
       },
     };
   }
 
+  /** Issues a ticket for a request, by which its response is found. */
   #ticket(arrival: Arrival): string {
     this.#ticketNumber += 1;
     const ticket = `${this.#ticketPrefix}-${this.#ticketNumber}`;
     const self = this;
-    this.#waiting.set(ticket, arrival.reply);
-    /** A caller who leaves frees the runner's seat. */
+    this.#responses.set(ticket, arrival.reply);
+    // A caller that disconnects frees the runner's slot.
     function closed(): void {
-      if (self.#waiting.delete(ticket)) self.#perform(self.#core.left(ticket));
+      if (self.#responses.delete(ticket)) self.#perform(self.#core.left(ticket));
     }
     arrival.reply.once("close", closed);
     return ticket;
   }
 
+  /** Executes the commands of the core. */
   #perform(outputs: readonly AccessOutput[]): void {
     for (const output of outputs) {
       switch (output.kind) {
@@ -486,94 +503,95 @@
           this.#wire.send(output.to, output.message);
           break;
         case "run":
-          this.#links.run(output.go, output.url, output.work, output.silence);
+          this.#connections.run(output.go, output.url, output.work, output.silence);
           break;
         case "abandon":
-          this.#links.abandon(output.go);
+          this.#connections.abandon(output.go);
           break;
         case "note":
           metrics.noted(output.text);
           this.#log.info(output.facts, output.text);
           break;
         case "pass-run":
-          this.#passLinks.run(output.go, output.address, output.work);
+          this.#passageConnections.run(output.go, output.address, output.work);
           break;
         case "pass-abandon":
-          this.#passLinks.abandon(output.go);
+          this.#passageConnections.abandon(output.go);
           break;
         case "pass-pause":
-          this.#passLinks.pause(output.go);
+          this.#passageConnections.pause(output.go);
           break;
         case "pass-resume":
-          this.#passLinks.resume(output.go);
+          this.#passageConnections.resume(output.go);
           break;
         case "pass-head":
         case "pass-bytes":
         case "pass-end":
         case "pass-cut":
-          this.#passing.deliver(output);
+          this.#passageCallers.deliver(output);
           break;
         case "pass-refused":
           this.#logRefusal(output);
-          this.#passing.deliver(output);
+          this.#passageCallers.deliver(output);
           break;
         case "lot-told": {
-          const told = this.#lotCallers.get(output.ticket);
+          const lotCaller = this.#lotCallers.get(output.ticket);
           this.#lotCallers.delete(output.ticket);
-          told?.(output.told);
+          lotCaller?.(output.told);
           break;
         }
         default:
-          this.#toCaller(output);
+          this.#sendReply(output);
       }
     }
     this.#beat.hasten();
   }
 
-  #toCaller(
+  /** Writes an output to the response of its caller. */
+  #sendReply(
     output: Exclude<AccessOutput, PassOutput | { kind: "send" | "run" | "abandon" | "note" }>,
   ): void {
-    const to = this.#waiting.get(output.ticket);
-    if (to === undefined) return;
+    const response = this.#responses.get(output.ticket);
+    if (response === undefined) return;
     switch (output.kind) {
       case "reply":
-        this.#waiting.delete(output.ticket);
-        if (output.status >= 400) replyTrouble(to, output.status, output.body as ErrorBody);
-        else reply(to, output.status, output.body);
+        this.#responses.delete(output.ticket);
+        if (output.status >= 400) replyTrouble(response, output.status, output.body as ErrorBody);
+        else reply(response, output.status, output.body);
         break;
       case "reply-bytes":
-        this.#waiting.delete(output.ticket);
-        metrics.resulted(to, output.status);
-        to.writeHead(output.status, {
+        this.#responses.delete(output.ticket);
+        metrics.resulted(response, output.status);
+        response.writeHead(output.status, {
           "content-type": output.type,
           "content-length": String(output.bytes.length),
         });
-        to.end(output.bytes);
+        response.end(output.bytes);
         break;
       case "stream-open":
-        metrics.resulted(to, 200);
-        to.writeHead(200, {
+        metrics.resulted(response, 200);
+        response.writeHead(200, {
           "content-type": "text/event-stream",
           "cache-control": "no-store",
           "chutewick-inquiry": output.ticket,
         });
-        to.flushHeaders();
+        response.flushHeaders();
         break;
       case "stream-piece":
-        to.write(`id: ${output.number}\ndata: ${JSON.stringify(output.data)}\n\n`);
+        response.write(`id: ${output.number}\ndata: ${JSON.stringify(output.data)}\n\n`);
         break;
       case "stream-close":
-        this.#waiting.delete(output.ticket);
-        to.end(`event: close\ndata: ${JSON.stringify({ pieces: output.pieces })}\n\n`);
+        this.#responses.delete(output.ticket);
+        response.end(`event: close\ndata: ${JSON.stringify({ pieces: output.pieces })}\n\n`);
         break;
       case "stream-trouble":
-        this.#waiting.delete(output.ticket);
-        to.end(`event: trouble\ndata: ${JSON.stringify(output.body)}\n\n`);
+        this.#responses.delete(output.ticket);
+        response.end(`event: trouble\ndata: ${JSON.stringify(output.body)}\n\n`);
         break;
     }
   }
 }
 
-function isNoField(key: string): boolean {
+function isUnknownField(key: string): boolean {
   return key !== "key" && key !== "items" && key !== "labels";
 }
--- a/packages/data/src/caller-delivery.ts
+++ b/packages/data/src/caller-delivery.ts
@@ -1,3 +1,4 @@
+/** Delivers outputs of the relay to the callers of live requests on passages. */
 import type { PassCaller } from "./access-desk.js";
 import type { PassOutput } from "./pass.js";
 
@@ -20,11 +21,12 @@
     this.#callers.set(ticket, caller);
   }
 
-  /** @returns whether the request was still under way */
+  /** Removes a caller. @returns whether its request was still under way */
   remove(ticket: string): boolean {
     return this.#callers.delete(ticket);
   }
 
+  /** Delivers an output, and forgets the caller after its last one. */
   deliver(output: CallerOutput): void {
     const caller = this.#callers.get(output.ticket);
     if (caller === undefined) return;
--- a/packages/data/src/error-reply.ts
+++ b/packages/data/src/error-reply.ts
@@ -1,7 +1,7 @@
-/** Errors as callers of the HTTP interface are told them (docs/interface.md). */
+/** Error responses of the HTTP interface (docs/interface.md). */
 import { constants } from "@chutewick/parts";
 
-/** Tells errors apart for programs; the field `trouble` of the body. */
+/** Machine-readable error code, sent as the field `trouble` of the body. */
 export type ErrorCode =
   | "bad-body"
   | "conflict"
@@ -19,26 +19,28 @@
   | "unknown-way"
   | "wrong-kind";
 
-/** The body of an error. */
+/** The body of an error response. */
 export type ErrorBody = {
   readonly trouble: ErrorCode;
   readonly reason: string;
-  /** s until it is worth trying again. */
+  /** Time (s) after which the caller should retry. */
   readonly retryAfter?: number;
-  /** Moment (ISO 8601) at which a season gives the queue room. */
+  /** Time (ISO 8601) at which a season gives the queue free capacity. */
   readonly roomAt?: string;
+  /** Id of the lot (the batch job). */
   readonly lot?: string;
-  /** Path at which the lot's state can be read. */
+  /** Path at which the state of the lot can be read. */
   readonly lookUp?: string;
+  /** Name of the route. */
   readonly way?: string;
-  /** Number of items of a lot. */
+  /** Number of items of the lot. */
   readonly of?: number;
   readonly state?: "cancelled" | "done";
-  /** s since the lot ended, at least. */
+  /** Minimum time (s) since the lot ended. */
   readonly endedBefore?: number;
 };
 
-/** An answer that ends a request with an error. */
+/** A reply that ends a request with an error. */
 export interface ErrorReply {
   readonly kind: "reply";
   readonly ticket: string;
@@ -46,12 +48,12 @@
   readonly body: ErrorBody;
 }
 
-/** Ends the request of a ticket with an HTTP status and an error. */
+/** Builds the reply that ends the request of a ticket with an HTTP error status. */
 export function errorReply(ticket: string, status: number, body: ErrorBody): ErrorReply {
   return { kind: "reply", ticket, status, body };
 }
 
-/** Ends a request with the promise that it did not run and never will. retryAfter in s. */
+/** Builds the reply that promises that a request did not run and never will. retryAfter in s. */
 export function notRunReply(
   ticket: string,
   reason: string,
--- a/packages/data/src/live-request-check.ts
+++ b/packages/data/src/live-request-check.ts
@@ -1,28 +1,28 @@
-/** Checks a live request against its route, and words what its runner is asked for (docs/design.md §6). */
+/** Validates a live request against its route, and builds the work for its runner (docs/design.md §6). */
 import type { Way } from "@chutewick/control";
 import { runnerRequestBody } from "./access-jobs.js";
 import type { Work } from "./access-output.js";
 import { errorReply, type ErrorReply } from "./error-reply.js";
 import { unknownRoute } from "./routes.js";
 
-/** A live request as it arrived. */
+/** A live request as received, not validated yet. */
 export interface LiveArrival {
   readonly ticket: string;
   readonly routeName: string;
-  /** The body that was posted, not checked yet. */
+  /** Body of the POST request. */
   readonly body: unknown;
-  /** Path below the route, of a request that was made with GET. */
+  /** Path below the route; undefined unless the request was made with GET. */
   readonly path: string | undefined;
 }
 
-/** A request that may be sent to a runner. */
+/** A valid request, with the work to send to a runner. */
 export interface CheckedRequest {
   readonly kind: "checked";
   readonly route: Way;
   readonly work: Work;
 }
 
-/** The route and the work of a request, or the error that its caller is told. */
+/** Validates a request. @returns its route and work, or the error for its caller */
 export function checkLiveRequest(
   arrival: LiveArrival,
   route: Way | undefined,
@@ -36,14 +36,14 @@
     return { kind: "checked", route, work: { kind: "fetch", request: ticket, path } };
   }
   if (path !== undefined) return wrongKind(ticket, `${routeName} takes inquiries by POST`);
-  const prompt = promptOf(arrival);
+  const prompt = readPrompt(arrival);
   if (prompt.kind === "reply") return prompt;
   const { model, adapter } = route;
   const body = runnerRequestBody({ request: ticket, model, adapter, prompt: prompt.value });
   return { kind: "checked", route, work: { kind: route.kind, request: ticket, body } };
 }
 
-function promptOf({
+function readPrompt({
   ticket,
   body,
 }: LiveArrival): { readonly kind: "prompt"; readonly value: unknown } | ErrorReply {
--- a/packages/data/src/live-requests.ts
+++ b/packages/data/src/live-requests.ts
@@ -1,4 +1,4 @@
-/** Live requests: callers wait while a runner works, and one runner after another may be tried (docs/design.md §6). */
+/** Live requests on routes: the caller waits for the result, and several runners may be tried in turn (docs/design.md §6). */
 import { constants, type RunnerCard } from "@chutewick/parts";
 import type { AccessCounts } from "./access-counts.js";
 import type { LiveRequest } from "./access-jobs.js";
@@ -12,11 +12,11 @@
 import type { RunnerSelection } from "./runner-selection.js";
 import { UnservedRequests } from "./unserved-requests.js";
 
-/** Live requests fill all seats of a runner. */
-const ALL_SEATS = 1;
+/** Live requests may use all concurrency slots of a runner. */
+const ALL_SLOTS = 1;
 
-/** What live requests need of their node. */
-export interface LiveRequestsParts {
+/** The parts of an access node that live requests depend on. */
+export interface LiveRequestsDependencies {
   readonly membership: Membership;
   readonly admission: Admission;
   readonly attempts: Attempts;
@@ -24,8 +24,8 @@
   readonly counts: AccessCounts;
 }
 
-/** Events of an attempt by what they tell. */
-type EventOf<Kind extends GoEvent["kind"]> = Extract<GoEvent, { kind: Kind }>;
+/** Attempt events of the given kinds. */
+type AttemptEventOf<Kind extends GoEvent["kind"]> = Extract<GoEvent, { kind: Kind }>;
 
 /** The live requests of one access node. */
 export class LiveRequests {
@@ -34,11 +34,12 @@
   #attempts: Attempts;
   #selection: RunnerSelection;
   #counts: AccessCounts;
-  /** The attempt under way of each ticket. */
+  /** Number of the attempt under way, by ticket. */
   #attemptOf = new Map<string, number>();
+  /** Requests that no runner had a free slot for. */
   readonly unserved = new UnservedRequests();
 
-  constructor({ membership, admission, attempts, selection, counts }: LiveRequestsParts) {
+  constructor({ membership, admission, attempts, selection, counts }: LiveRequestsDependencies) {
     this.#membership = membership;
     this.#admission = admission;
     this.#attempts = attempts;
@@ -46,19 +47,21 @@
     this.#counts = counts;
   }
 
+  /** Number of requests under way. */
   get size(): number {
     return this.#attemptOf.size;
   }
 
+  /** Checks a new request and sends it to a runner. */
   arrive(arrival: LiveArrival, now: number): AccessOutput[] {
     const { ticket, routeName } = arrival;
     this.#counts.live += 1;
     const { value } = this.#membership.configuration;
-    if (!this.#admission.isOpen(now)) return this.#notRun(ticket, NO_NEW_WORK);
+    if (!this.#admission.isOpen(now)) return this.#refuse(ticket, NO_NEW_WORK);
     const checked = checkLiveRequest(arrival, findRoute(value, routeName));
     if (checked.kind === "reply") return [checked];
     if (this.#attemptOf.size >= constants.liveMost)
-      return this.#notRun(ticket, "this access node has as many inquiries under way as it takes");
+      return this.#refuse(ticket, "this access node has as many inquiries under way as it takes");
     const request: LiveRequest = {
       kind: "live",
       ticket,
@@ -73,8 +76,8 @@
     return this.#tryNextRunner(request, now);
   }
 
-  /** The caller left, which frees the runner's seat. */
-  left(ticket: string): AccessOutput[] {
+  /** Abandons the request of a caller that disconnected, which frees the runner's slot. */
+  callerLeft(ticket: string): AccessOutput[] {
     const attempt = this.#attemptOf.get(ticket);
     if (attempt === undefined) return [];
     this.#attemptOf.delete(ticket);
@@ -82,8 +85,13 @@
     return [{ kind: "abandon", go: attempt }];
   }
 
-  /** What the link to a runner tells of an attempt of this request. */
-  attemptEvent(attempt: number, request: LiveRequest, event: GoEvent, now: number): AccessOutput[] {
+  /** Handles an event of the connection on which an attempt of the request runs. */
+  handleAttemptEvent(
+    attempt: number,
+    request: LiveRequest,
+    event: GoEvent,
+    now: number,
+  ): AccessOutput[] {
     const { ticket } = request;
     switch (event.kind) {
       case "unsent":
@@ -96,7 +104,7 @@
         request.isStreamOpen = true;
         return [{ kind: "stream-open", ticket }];
       case "piece":
-        return this.#passOnPiece(attempt, request, event);
+        return this.#forwardPiece(attempt, request, event);
       case "closed":
         return this.#closeStream(attempt, request, event);
       case "whole": {
@@ -121,6 +129,7 @@
     return [run];
   }
 
+  /** Chooses a runner that was not tried yet; undefined where none is left. */
   #nextRunner(request: LiveRequest, now: number): RunnerCard | undefined {
     const { route, triedRunners, fullRunnersTried } = request;
     if (triedRunners.size >= constants.runnersTried) return undefined;
@@ -131,26 +140,29 @@
         adapter: route.adapter,
         labels: route.runners,
         tried: triedRunners,
-        seatPart: ALL_SEATS,
+        seatPart: ALL_SLOTS,
         fullRunnersTried,
       },
       now,
     );
   }
 
-  /** Only want of seats holds lots back: a node that cannot reach its runners says nothing of their room (§8.5). */
+  /**
+   * Refuses a request that no runner took. It is reported as unserved, which throttles lots, only if runners lacked free slots: a
+   * node that cannot reach its runners knows nothing of their free capacity (§8.5).
+   */
   #giveUp(request: LiveRequest, now: number): AccessOutput[] {
     const { model } = request.route;
-    const wantedSeats = request.retryAfter !== undefined || request.fullRunnersTried > 0;
-    if (model !== undefined && wantedSeats) this.unserved.add(model, now);
-    return this.#notRun(request.ticket, reasonOf(request), request.retryAfter);
+    const lackedSlots = request.retryAfter !== undefined || request.fullRunnersTried > 0;
+    if (model !== undefined && lackedSlots) this.unserved.add(model, now);
+    return this.#refuse(request.ticket, describeNotRun(request), request.retryAfter);
   }
 
-  /** Nothing ran: another runner may be tried. */
+  /** The request did not run, so another runner is tried. */
   #retry(
     attempt: number,
     request: LiveRequest,
-    event: EventOf<"unsent" | "refused">,
+    event: AttemptEventOf<"unsent" | "refused">,
     now: number,
   ): AccessOutput[] {
     this.#end(attempt, request);
@@ -162,11 +174,11 @@
     return this.#tryNextRunner(request, now);
   }
 
-  /** It ran, or may have run: no other runner is tried. */
+  /** Fails a request that ran or may have run; no other runner is tried. */
   #fail(
     attempt: number,
     request: LiveRequest,
-    { kind, reason }: EventOf<"troubled" | "broken">,
+    { kind, reason }: AttemptEventOf<"troubled" | "broken">,
   ): AccessOutput[] {
     const { ticket } = request;
     this.#end(attempt, request);
@@ -181,7 +193,12 @@
       : [errorReply(ticket, 502, body)];
   }
 
-  #passOnPiece(attempt: number, request: LiveRequest, event: EventOf<"piece">): AccessOutput[] {
+  /** Forwards the next piece of a stream; a gap in the numbers cuts the stream off. */
+  #forwardPiece(
+    attempt: number,
+    request: LiveRequest,
+    event: AttemptEventOf<"piece">,
+  ): AccessOutput[] {
     const { ticket, nextPiece } = request;
     if (event.number !== nextPiece)
       return this.#cutStream(
@@ -193,7 +210,12 @@
     return [{ kind: "stream-piece", ticket, number: event.number, data: event.data }];
   }
 
-  #closeStream(attempt: number, request: LiveRequest, event: EventOf<"closed">): AccessOutput[] {
+  /** Completes a stream if every piece of it was received. */
+  #closeStream(
+    attempt: number,
+    request: LiveRequest,
+    event: AttemptEventOf<"closed">,
+  ): AccessOutput[] {
     const { ticket, nextPiece } = request;
     if (event.pieces !== nextPiece)
       return this.#cutStream(
@@ -204,7 +226,7 @@
     return this.#finish(attempt, request, { kind: "stream-close", ticket, pieces: event.pieces });
   }
 
-  /** A stream that is not whole must not look whole. */
+  /** Ends an incomplete stream with an error event, so that it cannot be taken for a complete one. */
   #cutStream(attempt: number, request: LiveRequest, reason: string): AccessOutput[] {
     this.#end(attempt, request);
     this.#counts.mayHaveRun += 1;
@@ -226,13 +248,13 @@
     this.#attemptOf.delete(request.ticket);
   }
 
-  #notRun(ticket: string, reason: string, retryAfter?: number): AccessOutput[] {
+  #refuse(ticket: string, reason: string, retryAfter?: number): AccessOutput[] {
     this.#counts.notRun += 1;
     return [notRunReply(ticket, reason, retryAfter)];
   }
 }
 
-function reasonOf({ triedRunners, retryAfter }: LiveRequest): string {
+function describeNotRun({ triedRunners, retryAfter }: LiveRequest): string {
   if (triedRunners.size === 0) return "no runner for this way is known here now";
   return retryAfter === undefined
     ? "no runner tried could be reached"
--- a/packages/data/src/pass-link.ts
+++ b/packages/data/src/pass-link.ts
@@ -1,11 +1,12 @@
+/** HTTP connections to the runners of passages (docs/design.md §13.6). */
 import { connect as connectSocket, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { Client, type Dispatcher } from "undici";
 import type { PassEvent, PassLinks, PassWork, RunnerDialect } from "./dialect.js";
 import { EventReader } from "./events.js";
 
-/** Headers of one connection alone, which are not passed on. */
-const ofConnection = new Set([
+/** Hop-by-hop headers, which are not forwarded. */
+const hopByHopHeaders = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -17,37 +18,42 @@
   "upgrade",
 ]);
 
+/** Options of the connections to runners. */
 export interface PassOptions {
   readonly dialect: RunnerDialect;
-  /** The last look before the first byte: a reason not to send. */
-  readonly mayStart: (go: number) => string | undefined;
-  readonly told: (go: number, event: PassEvent) => void;
-  /** Connections that this node may have to the runner at an address. */
+  /** Checks an attempt right before its first byte is sent. @returns why it must not be sent; undefined where it may be */
+  readonly mayStart: (attempt: number) => string | undefined;
+  /** Called with each event of an attempt. */
+  readonly told: (attempt: number, event: PassEvent) => void;
+  /** Maximum number of connections of this node to the runner at an address. */
   readonly share: (address: string) => number;
+  /** Monotonic clock, in ms. */
   readonly now: () => number;
 }
 
-/** One connection to a runner, and what speaks on it; one work at a time. */
-interface Line {
+/** One connection to a runner, with its HTTP client; it carries one request at a time. */
+interface Connection {
   readonly address: string;
   readonly socket: Socket;
-  speaker: Client | undefined;
+  client: Client | undefined;
   run: Run | undefined;
-  /** Ids of the works done on it, the newest last: only the first one cannot meet a result left over from another. */
-  readonly ids: string[];
+  /** Ids of the requests sent on it, the newest last. Only the first one cannot receive a delayed result of another request. */
+  readonly requestIds: string[];
+  /** Monotonic time (ms) at which it last became idle. */
   usedAt: number;
-  /** ms that it may stay idle; undefined where the runner told nothing. */
-  idleMost: number | undefined;
-  lost: boolean;
+  /** Time (ms) that it may stay idle; undefined where the runner did not announce one. */
+  maxIdleMs: number | undefined;
+  isClosed: boolean;
 }
 
+/** The connections to one address, and the runs that wait for one. */
 interface Host {
-  readonly idle: Line[];
+  readonly idle: Connection[];
   readonly waiting: Run[];
   open: number;
 }
 
-/** Links to runners: connections are kept, and each result is checked to be that of its own request (docs/design.md §13.6). */
+/** Connections to runners. They are kept alive, and each result is checked to belong to the request that it answers (docs/design.md §13.6). */
 export class PassConnections implements PassLinks {
   #options: PassOptions;
   #hosts = new Map<string, Host>();
@@ -58,50 +64,53 @@
     this.#options = options;
   }
 
-  run(go: number, address: string, work: PassWork): void {
-    const run = new Run(this, go, address, work);
-    this.#runs.set(go, run);
-    this.#place(run);
+  run(attempt: number, address: string, work: PassWork): void {
+    const run = new Run(this, attempt, address, work);
+    this.#runs.set(attempt, run);
+    this.#assignConnection(run);
   }
 
-  abandon(go: number): void {
-    const run = this.#runs.get(go);
+  abandon(attempt: number): void {
+    const run = this.#runs.get(attempt);
     if (run === undefined) return;
-    this.#runs.delete(go);
-    run.gone = true;
-    if (run.line !== undefined) this.#cutOff(run.line);
+    this.#runs.delete(attempt);
+    run.isFinished = true;
+    if (run.connection !== undefined) this.#reset(run.connection);
   }
 
-  pause(go: number): void {
-    const run = this.#runs.get(go);
-    if (run !== undefined) run.paused = true;
+  pause(attempt: number): void {
+    const run = this.#runs.get(attempt);
+    if (run !== undefined) run.isPaused = true;
   }
 
-  resume(go: number): void {
-    this.#runs.get(go)?.goOn();
+  resume(attempt: number): void {
+    this.#runs.get(attempt)?.resume();
   }
 
-  /** How many connections to an address are open, those in use and those being made counted. */
+  /** Number of connections to an address, including those in use and those being opened. */
   openTo(address: string): number {
     return this.#hosts.get(address)?.open ?? 0;
   }
 
-  /** Idle connections that are past their time are closed, and works past theirs broken off. */
+  /** Closes connections that were idle for too long, and ends runs that are overdue. */
   beat(now: number): void {
     for (const [address, host] of this.#hosts) {
-      while (host.idle.length > 0 && !isFresh(host.idle[0]!, true, now)) this.#drop(host.idle[0]!);
+      while (host.idle.length > 0 && !isFresh(host.idle[0]!, true, now))
+        this.#closeConnection(host.idle[0]!);
       if (host.open === 0 && host.waiting.length === 0) this.#hosts.delete(address);
     }
-    for (const [go, run] of this.#runs) {
+    for (const [attempt, run] of this.#runs) {
       if (now <= run.work.until + constants.overdueGrace) continue;
-      if (run.line !== undefined) this.#cutOff(run.line);
+      if (run.connection !== undefined) this.#reset(run.connection);
       else this.finish(run, { kind: "unsent", reason: "no connection was free in time" });
-      this.#runs.delete(go);
+      this.#runs.delete(attempt);
     }
   }
 
+  /** Closes all idle connections. */
   close(): void {
-    for (const host of this.#hosts.values()) for (const line of [...host.idle]) this.#drop(line);
+    for (const host of this.#hosts.values())
+      for (const connection of [...host.idle]) this.#closeConnection(connection);
   }
 
   #host(address: string): Host {
@@ -110,8 +119,8 @@
     return host;
   }
 
-  /** The connection used last, else a new one, else the next that comes free. */
-  #place(run: Run): void {
+  /** Assigns the most recently used idle connection, else a new one, else the next one that becomes free. */
+  #assignConnection(run: Run): void {
     const host = this.#host(run.address);
     const now = this.#options.now();
     const last = host.idle.at(-1);
@@ -126,74 +135,76 @@
         host.waiting.push(run);
         return;
       }
-      this.#drop(host.idle[0]!);
+      this.#closeConnection(host.idle[0]!);
     }
     this.#connect(run, host);
   }
 
   #connect(run: Run, host: Host): void {
     const self = this;
-    const cut = run.address.lastIndexOf(":");
+    const separator = run.address.lastIndexOf(":");
     const socket = connectSocket({
-      host: run.address.slice(0, cut),
-      port: Number(run.address.slice(cut + 1)),
+      host: run.address.slice(0, separator),
+      port: Number(run.address.slice(separator + 1)),
       noDelay: true,
       keepAlive: true,
       keepAliveInitialDelay: 1_000,
     });
-    const line: Line = {
+    const connection: Connection = {
       address: run.address,
       socket,
-      speaker: undefined,
+      client: undefined,
       run: undefined,
-      ids: [],
+      requestIds: [],
       usedAt: 0,
-      idleMost: undefined,
-      lost: false,
+      maxIdleMs: undefined,
+      isClosed: false,
     };
     host.open += 1;
     this.counts.connected += 1;
     let reason = "the runner cannot be reached in time";
-    function late(): void {
+    function onTimeout(): void {
       socket.destroy();
     }
-    function failed(error: Error): void {
+    function onError(error: Error): void {
       reason = error.message;
     }
-    function closed(): void {
-      clearTimeout(patience);
-      self.#drop(line);
-      if (line.speaker !== undefined) return;
+    function onClose(): void {
+      clearTimeout(connectTimer);
+      self.#closeConnection(connection);
+      if (connection.client !== undefined) return;
       self.counts.unreached += 1;
       self.finish(run, { kind: "unsent", reason });
-      self.#serve(host);
+      self.#serveWaiting(host);
     }
-    function connected(): void {
-      clearTimeout(patience);
-      line.speaker = self.#speaker(line);
-      line.usedAt = self.#options.now();
-      self.#start(line, run);
+    function onConnect(): void {
+      clearTimeout(connectTimer);
+      connection.client = self.#createClient(connection);
+      connection.usedAt = self.#options.now();
+      self.#start(connection, run);
     }
-    const patience = setTimeout(late, constants.passPatience);
-    socket.on("error", failed);
-    socket.once("close", closed);
-    socket.once("connect", connected);
+    const connectTimer = setTimeout(onTimeout, constants.passPatience);
+    socket.on("error", onError);
+    socket.once("close", onClose);
+    socket.once("connect", onConnect);
   }
 
-  #speaker(line: Line): Client {
+  /** Creates an HTTP client that uses the given socket only and never reconnects. */
+  #createClient(connection: Connection): Client {
     let used = false;
     function connector(
       _options: unknown,
       callback: (error: Error | null, socket: Socket | null) => void,
     ): void {
-      if (used || line.socket.destroyed) return callback(new Error("the connection is gone"), null);
+      if (used || connection.socket.destroyed)
+        return callback(new Error("the connection is gone"), null);
       used = true;
-      function hand(): void {
-        callback(null, line.socket);
+      function provideSocket(): void {
+        callback(null, connection.socket);
       }
-      queueMicrotask(hand);
+      queueMicrotask(provideSocket);
     }
-    return new Client(`http://${line.address}`, {
+    return new Client(`http://${connection.address}`, {
       connect: connector as never,
       pipelining: 1,
       headersTimeout: 0,
@@ -204,23 +215,23 @@
     });
   }
 
-  #start(line: Line, run: Run): void {
-    if (run.gone) return this.#rest(line);
+  #start(connection: Connection, run: Run): void {
+    if (run.isFinished) return this.#release(connection);
     const reason = this.#options.mayStart(run.go);
-    /** Asking may itself have ended the go. */
-    if (run.gone || reason !== undefined) {
-      this.#rest(line);
+    // `mayStart` itself may have ended the attempt.
+    if (run.isFinished || reason !== undefined) {
+      this.#release(connection);
       return this.finish(run, { kind: "unsent", reason: reason ?? "it is not wanted any more" });
     }
-    line.run = run;
-    run.line = line;
+    connection.run = run;
+    run.connection = connection;
     run.startedAt = this.#options.now();
     const { request } = run.work;
-    line.ids.push(request.id);
-    if (line.ids.length > constants.idsOfConnection) line.ids.shift();
+    connection.requestIds.push(request.id);
+    if (connection.requestIds.length > constants.idsOfConnection) connection.requestIds.shift();
     const method = request.method;
     try {
-      line.speaker!.dispatch(
+      connection.client!.dispatch(
         {
           method,
           path: request.path,
@@ -234,93 +245,97 @@
     }
   }
 
-  /** The last look, in the same step as the write: the library lets the event loop turn before it writes on a kept connection. */
+  /**
+   * Checks a run once more in the same step as the write: undici yields to the event loop before it writes on a kept connection.
+   * @returns why it must not be written; undefined where it may be
+   */
   mayWrite(run: Run): string | undefined {
-    if (run.gone) return "it is not wanted any more";
+    if (run.isFinished) return "it is not wanted any more";
     if (this.#options.now() - run.startedAt > constants.sendWithin)
       return "this process stood still before the first byte";
     return this.#options.mayStart(run.go);
   }
 
-  /** Free for the next work; bytes that come meanwhile belong to nobody and end it. */
-  #rest(line: Line): void {
-    const host = this.#host(line.address);
-    line.run = undefined;
-    if (line.lost || line.socket.destroyed || line.idleMost === 0) return this.#drop(line);
-    line.usedAt = this.#options.now();
-    host.idle.push(line);
-    this.#serve(host);
+  /** Returns a connection to the idle ones. Bytes that arrive while it is idle belong to no request, so they make it unusable. */
+  #release(connection: Connection): void {
+    const host = this.#host(connection.address);
+    connection.run = undefined;
+    if (connection.isClosed || connection.socket.destroyed || connection.maxIdleMs === 0)
+      return this.#closeConnection(connection);
+    connection.usedAt = this.#options.now();
+    host.idle.push(connection);
+    this.#serveWaiting(host);
   }
 
-  /** Those that wait for a connection, in turn. */
-  #serve(host: Host): void {
+  /** Assigns connections to waiting runs, in order of arrival. */
+  #serveWaiting(host: Host): void {
     for (;;) {
       const next = host.waiting[0];
       if (next === undefined) return;
       if (
-        !next.gone &&
+        !next.isFinished &&
         host.idle.length === 0 &&
         host.open >= Math.max(1, this.#options.share(next.address))
       )
         return;
       host.waiting.shift();
-      if (!next.gone) this.#place(next);
+      if (!next.isFinished) this.#assignConnection(next);
     }
   }
 
   /**
-   * Ends a connection with a work on it that nobody waits for any more. The reset takes back what the kernel has not yet
-   * delivered: closed in the ordinary way, a request held up by a cut or a full window would reach the runner later.
+   * Resets a connection whose request is no longer wanted. A TCP reset discards what the kernel has not yet delivered; after an
+   * orderly close, a request that is held up by a network partition or a full window would reach the runner later.
    */
-  #cutOff(line: Line): void {
-    if (!line.lost && !line.socket.destroyed) line.socket.resetAndDestroy();
-    this.#drop(line);
+  #reset(connection: Connection): void {
+    if (!connection.isClosed && !connection.socket.destroyed) connection.socket.resetAndDestroy();
+    this.#closeConnection(connection);
   }
 
-  #drop(line: Line): void {
-    if (line.lost) return;
-    line.lost = true;
-    const host = this.#host(line.address);
+  #closeConnection(connection: Connection): void {
+    if (connection.isClosed) return;
+    connection.isClosed = true;
+    const host = this.#host(connection.address);
     host.open -= 1;
-    const index = host.idle.indexOf(line);
+    const index = host.idle.indexOf(connection);
     if (index >= 0) host.idle.splice(index, 1);
-    /** Through what speaks on it, so that the work on it hears of the end. */
-    if (line.speaker !== undefined) void line.speaker.destroy().catch(ignored);
-    line.socket.destroy();
+    // Destroying the client notifies the run on the connection of its end.
+    if (connection.client !== undefined) void connection.client.destroy().catch(ignored);
+    connection.socket.destroy();
     if (host.waiting.length > 0) {
       const self = this;
       function serve(): void {
-        self.#serve(host);
+        self.#serveWaiting(host);
       }
       queueMicrotask(serve);
     }
   }
 
-  /** Of a run: what the runner's head says is judged here. */
-  judge(
+  /** Validates the head of a runner's response, and reports it or fails the run. */
+  handleHead(
     run: Run,
     status: number,
     found: Record<string, string | string[] | undefined>,
-    passed: string[],
+    headers: string[],
   ): void {
-    const line = run.line!;
+    const connection = run.connection!;
     if (
       found["connection"] !== undefined &&
       String(found["connection"]).toLowerCase().includes("close")
     )
-      line.idleMost = 0;
-    else line.idleMost = idleOf(found["keep-alive"]);
+      connection.maxIdleMs = 0;
+    else connection.maxIdleMs = keepAliveTimeoutOf(found["keep-alive"]);
     const head = this.#options.dialect.read(status, found);
-    const foreign =
+    const isForeign =
       head.id === undefined
-        ? !(head.notRun && line.ids.length === 1)
+        ? !(head.notRun && connection.requestIds.length === 1)
         : head.id !== run.work.request.id;
-    if (foreign) {
+    if (isForeign) {
       this.counts.poisoned += 1;
-      return this.break(run, "the runner's result is that of another inquiry");
+      return this.fail(run, "the runner's result is that of another inquiry");
     }
     if (head.notRun || head.otherRunner) {
-      run.ignores = true;
+      run.ignoresRest = true;
       return this.#options.told(run.go, {
         kind: "refused",
         status,
@@ -330,165 +345,195 @@
     }
     const encoding = found["content-encoding"];
     if (encoding !== undefined && encoding !== "identity")
-      return this.break(run, "the body is encoded, which the runner's own never is");
-    const bare = status === 204 || status === 304 || run.work.request.method === "HEAD";
+      return this.fail(run, "the body is encoded, which the runner's own never is");
+    const hasNoBody = status === 204 || status === 304 || run.work.request.method === "HEAD";
     if (
-      !bare &&
+      !hasNoBody &&
       found["content-length"] === undefined &&
       String(found["transfer-encoding"] ?? "").toLowerCase() !== "chunked"
     )
-      return this.break(run, "the end of the result could not be known");
+      return this.fail(run, "the end of the result could not be known");
     run.reader = run.work.events && status >= 200 && status < 300 ? new EventReader() : undefined;
-    this.#options.told(run.go, { kind: "head", status, headers: passed, stamped: head.stamped });
+    this.#options.told(run.go, { kind: "head", status, headers, stamped: head.stamped });
   }
 
-  tell(run: Run, event: PassEvent): void {
-    if (!run.gone && !run.ignores) this.#options.told(run.go, event);
+  /** Reports an event of a run, unless the run is finished or its rest is ignored. */
+  emit(run: Run, event: PassEvent): void {
+    if (!run.isFinished && !run.ignoresRest) this.#options.told(run.go, event);
   }
 
-  /** The whole result came. */
-  complete(run: Run): void {
+  /** Handles the end of a complete response. */
+  handleComplete(run: Run): void {
     const self = this;
-    const line = run.line!;
-    run.line = undefined;
-    /** After the parser has looked at all that came: more bytes than a result end the connection first. */
-    function rest(): void {
-      self.#rest(line);
+    const connection = run.connection!;
+    run.connection = undefined;
+    // Deferred until the parser has seen all received bytes: surplus bytes close the connection first.
+    function release(): void {
+      self.#release(connection);
     }
-    setImmediate(rest);
+    setImmediate(release);
     if (run.reader?.open !== true) return this.finish(run, { kind: "end" });
-    line.idleMost = 0;
+    connection.maxIdleMs = 0;
     this.finish(run, { kind: "broken", reason: "the stream ended within an event" });
   }
 
-  break(run: Run, reason: string): void {
-    const line = run.line;
+  /** Fails a run and resets its connection. */
+  fail(run: Run, reason: string): void {
+    const connection = run.connection;
     this.finish(run, { kind: "broken", reason });
-    if (line !== undefined) this.#cutOff(line);
+    if (connection !== undefined) this.#reset(connection);
   }
 
+  /** Ends a run with its last event. */
   finish(run: Run, event: PassEvent): void {
     if (this.#runs.get(run.go) === run) this.#runs.delete(run.go);
-    if (run.gone) return;
-    run.gone = true;
-    if (!run.ignores) this.#options.told(run.go, event);
+    if (run.isFinished) return;
+    run.isFinished = true;
+    if (!run.ignoresRest) this.#options.told(run.go, event);
   }
 }
 
-/** One work on one connection: what undici tells of it. */
+/** One attempt on one connection, as the handler of undici's callbacks. */
 class Run implements Dispatcher.DispatchHandler {
+  /** Number of the attempt. */
   readonly go: number;
   readonly address: string;
   readonly work: PassWork;
-  line: Line | undefined;
+  connection: Connection | undefined;
   reader: EventReader | undefined;
-  /** Abandoned, or its last word is told. */
-  gone = false;
-  /** The runner refused it: the rest of the result is read away. */
-  ignores = false;
-  paused = false;
-  /** ms. When its headers were made. */
+  /** Whether it was abandoned or its last event was reported. */
+  isFinished = false;
+  /** Whether the runner refused it, so that the rest of the response is read and discarded. */
+  ignoresRest = false;
+  isPaused = false;
+  /** Monotonic time (ms) at which its headers were created. */
   startedAt = 0;
-  #links: PassConnections;
-  #sent = false;
-  #goOn: (() => void) | undefined;
-  #held = false;
-
-  constructor(links: PassConnections, go: number, address: string, work: PassWork) {
-    this.#links = links;
-    this.go = go;
+  #connections: PassConnections;
+  #isSent = false;
+  #resumeReading: (() => void) | undefined;
+  #isHeld = false;
+
+  constructor(connections: PassConnections, attempt: number, address: string, work: PassWork) {
+    this.#connections = connections;
+    this.go = attempt;
     this.address = address;
     this.work = work;
   }
 
-  goOn(): void {
-    this.paused = false;
-    if (!this.#held) return;
-    this.#held = false;
-    this.#goOn?.();
+  /** Resumes reading after a pause. */
+  resume(): void {
+    this.isPaused = false;
+    if (!this.#isHeld) return;
+    this.#isHeld = false;
+    this.#resumeReading?.();
   }
 
-  /** Called right before the first byte is written; aborted here nothing goes out. */
+  /** Called by undici right before the first byte is written; after an abort here nothing is sent. */
   onConnect(abort: (error: Error) => void): void {
-    const reason = this.#links.mayWrite(this);
+    const reason = this.#connections.mayWrite(this);
     if (reason !== undefined) return abort(new Error(reason));
-    this.#sent = true;
+    this.#isSent = true;
   }
 
-  onHeaders(status: number, raw: Buffer[], goOn: () => void): boolean {
+  /** @returns whether undici shall continue to read */
+  onHeaders(status: number, raw: Buffer[], resumeReading: () => void): boolean {
     if (status < 200) return true;
-    this.#goOn = goOn;
+    this.#resumeReading = resumeReading;
     const found: Record<string, string | string[] | undefined> = {};
-    const passed: string[] = [];
-    const named = new Set<string>();
+    const forwarded: string[] = [];
+    const connectionHeaders = new Set<string>();
     for (let index = 0; index + 1 < raw.length; index += 2) {
       const name = raw[index]!.toString("latin1");
       const value = raw[index + 1]!.toString("latin1");
       const key = name.toLowerCase();
-      const held = found[key];
+      const previous = found[key];
       found[key] =
-        held === undefined ? value : Array.isArray(held) ? [...held, value] : [held, value];
+        previous === undefined
+          ? value
+          : Array.isArray(previous)
+            ? [...previous, value]
+            : [previous, value];
       if (key === "connection")
-        for (const part of value.split(",")) named.add(part.trim().toLowerCase());
-      else if (!ofConnection.has(key)) passed.push(name, value);
+        for (const part of value.split(",")) connectionHeaders.add(part.trim().toLowerCase());
+      else if (!hopByHopHeaders.has(key)) forwarded.push(name, value);
     }
-    if (!this.gone)
-      this.#links.judge(this, status, found, named.size === 0 ? passed : without(passed, named));
-    return this.#mayGoOn();
+    if (!this.isFinished)
+      this.#connections.handleHead(
+        this,
+        status,
+        found,
+        connectionHeaders.size === 0 ? forwarded : removeHeaders(forwarded, connectionHeaders),
+      );
+    return this.#mayContinue();
   }
 
+  /** @returns whether undici shall continue to read */
   onData(chunk: Buffer): boolean {
-    if (this.gone || this.ignores) return true;
-    if (this.reader === undefined) this.#links.tell(this, { kind: "data", bytes: chunk });
-    else for (const event of this.reader.take(chunk)) this.#links.tell(this, event);
-    return this.#mayGoOn();
+    if (this.isFinished || this.ignoresRest) return true;
+    if (this.reader === undefined) this.#connections.emit(this, { kind: "data", bytes: chunk });
+    else for (const event of this.reader.take(chunk)) this.#connections.emit(this, event);
+    return this.#mayContinue();
   }
 
   onComplete(): void {
-    this.#links.complete(this);
+    this.#connections.handleComplete(this);
   }
 
   onError(error: Error): void {
-    const line = this.line;
-    this.line = undefined;
-    this.#links.finish(
+    const connection = this.connection;
+    this.connection = undefined;
+    this.#connections.finish(
       this,
-      this.#sent
+      this.#isSent
         ? { kind: "broken", reason: `the link to the runner broke: ${error.message}` }
         : { kind: "unsent", reason: error.message },
     );
-    if (line !== undefined) line.socket.destroy();
+    if (connection !== undefined) connection.socket.destroy();
   }
 
-  #mayGoOn(): boolean {
-    this.#held = this.paused && !this.gone;
-    return !this.#held;
+  #mayContinue(): boolean {
+    this.#isHeld = this.isPaused && !this.isFinished;
+    return !this.#isHeld;
   }
 }
 
-/** Whether a kept connection may be used: well within its time, and nothing came on it that nobody asked for. */
-function isFresh(line: Line, repeatable: boolean, now: number): boolean {
-  if (line.lost || line.socket.destroyed || line.socket.readableLength > 0) return false;
-  const told = line.idleMost;
-  const most =
-    told === undefined ? constants.idleUntold * (repeatable ? 3 : 1) : told - constants.idleMargin;
-  return now - line.usedAt <= most;
+/** Whether an idle connection may be reused: it is well within its idle time, and no unsolicited bytes arrived on it. */
+function isFresh(connection: Connection, repeatable: boolean, now: number): boolean {
+  if (connection.isClosed || connection.socket.destroyed || connection.socket.readableLength > 0)
+    return false;
+  const announced = connection.maxIdleMs;
+  const maxIdle =
+    announced === undefined
+      ? constants.idleUntold * (repeatable ? 3 : 1)
+      : announced - constants.idleMargin;
+  return now - connection.usedAt <= maxIdle;
 }
 
-/** A late second answer to an earlier work of the same id could not be told from the one that is due: such a work goes elsewhere. */
-function isUsableFor(line: Line, work: PassWork, now: number): boolean {
-  return isFresh(line, work.repeatable, now) && !line.ids.includes(work.request.id);
+/**
+ * Whether an idle connection may carry a request. A connection that carried the same request id before may not: a delayed second
+ * response to the earlier request could not be distinguished from the expected one.
+ */
+function isUsableFor(connection: Connection, work: PassWork, now: number): boolean {
+  return (
+    isFresh(connection, work.repeatable, now) && !connection.requestIds.includes(work.request.id)
+  );
 }
 
-function idleOf(value: string | string[] | undefined): number | undefined {
+/** Parses the timeout of a Keep-Alive header into ms. */
+function keepAliveTimeoutOf(value: string | string[] | undefined): number | undefined {
   const found = /timeout\s*=\s*(\d+)/i.exec(String(value ?? ""));
   return found === null ? undefined : Number(found[1]) * 1_000;
 }
 
-function without(passed: readonly string[], named: ReadonlySet<string>): string[] {
+/** Removes headers that the Connection header names; names and values alternate. */
+function removeHeaders(
+  headers: readonly string[],
+  connectionHeaders: ReadonlySet<string>,
+): string[] {
   const found: string[] = [];
-  for (let index = 0; index + 1 < passed.length; index += 2)
-    if (!named.has(passed[index]!.toLowerCase())) found.push(passed[index]!, passed[index + 1]!);
+  for (let index = 0; index + 1 < headers.length; index += 2)
+    if (!connectionHeaders.has(headers[index]!.toLowerCase()))
+      found.push(headers[index]!, headers[index + 1]!);
   return found;
 }
 
--- a/packages/data/src/pending-calls.ts
+++ b/packages/data/src/pending-calls.ts
@@ -1,39 +1,41 @@
-/** Requests to owners of queues that have no result yet (docs/design.md §5.2). */
+/** Calls to the owners of queues, resent until they have a result or time out (docs/design.md §5.2). */
 import { constants, type ChainView, type QueueCommand } from "@chutewick/parts";
 import { keys } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
 import type { Membership } from "./membership.js";
 import type { QueueOutcome } from "./queue-messages.js";
 
-/** Takes the result of a call. askedAt: the moment of the asking, which no stamp of the owner comes before. */
+/** Handles the result of a call. `askedAt` is a monotonic time (ms) before which the owner cannot have set any timestamp of the result. */
 export type QueueResultHandler = (
   outcome: QueueOutcome,
   now: number,
   askedAt: number,
 ) => AccessOutput[];
 
-/** A call as its maker words it. */
+/** A call to the owner of a queue. */
 export interface QueueCall {
   readonly queue: string;
   readonly command: QueueCommand;
-  /** ms after which the call ends without a result. */
+  /** Timeout (ms) of the call. */
   readonly patience: number;
-  /** ms that the owner may keep the result back; none where it is left out. */
+  /** Time (ms) for which the owner may hold the call open (long polling); 0 by default. */
   readonly hold?: number;
   readonly onResult: QueueResultHandler;
 }
 
-/** A call under way, sent again while that cannot do harm. */
+/** A call under way; resent where a repetition does no harm. */
 export interface PendingCall extends QueueCall {
+  /** Monotonic time (ms) at which the call was made. */
   readonly since: number;
   readonly hold: number;
+  /** Address of the owner that it was last sent to; undefined where it is to be sent again. */
   sentTo: string | undefined;
   sentAt: number;
-  /** Whether some owner may have taken it without our hearing. */
+  /** Whether an owner may have accepted it without its reply being received. */
   doubtful: boolean;
 }
 
-/** All calls of one access node to owners of queues. */
+/** All pending calls of one access node to owners of queues. */
 export class PendingCalls {
   #membership: Membership;
   #pendingCalls = new Map<string, PendingCall>();
@@ -43,6 +45,7 @@
     this.#membership = membership;
   }
 
+  /** Number of pending calls. */
   get size(): number {
     return this.#pendingCalls.size;
   }
@@ -51,7 +54,7 @@
     return this.#pendingCalls.values();
   }
 
-  /** Begins a call; its handler is called exactly once. */
+  /** Sends a call; its handler is called exactly once. */
   ask(call: QueueCall, now: number): AccessOutput[] {
     const ticket = this.ticket();
     const { command } = call;
@@ -70,12 +73,13 @@
     return this.#send(ticket, pendingCall, now);
   }
 
-  /** Never used twice by this node. */
+  /** @returns a new ticket, unique for this node */
   ticket(): string {
     this.#number += 1;
     return `${this.#membership.identity}/${this.#number}`;
   }
 
+  /** Address of the owner of a queue, as far as this node knows. */
   owner(queue: string): string | undefined {
     return this.#membership.follower.read<ChainView>(keys.queue + queue)?.members[0]?.address;
   }
@@ -85,12 +89,12 @@
     const owner = this.owner(pendingCall.queue);
     pendingCall.sentTo = owner;
     if (owner === undefined) return [];
-    /** Earlier sendings may be on their way: a refusal of this one is to hold for them too. */
+    // Earlier copies may still be in transit; `final` makes a refusal apply to them as well.
     const command =
       pendingCall.doubtful && pendingCall.command.kind === "hand-in"
         ? { ...pendingCall.command, final: true }
         : pendingCall.command;
-    const left = Math.max(
+    const remainingHold = Math.max(
       0,
       Math.min(pendingCall.hold, pendingCall.since + pendingCall.hold - now),
     );
@@ -103,13 +107,13 @@
           ticket,
           queue: pendingCall.queue,
           command,
-          ...(left > 0 ? { hold: left } : {}),
+          ...(remainingHold > 0 ? { hold: remainingHold } : {}),
         },
       },
     ];
   }
 
-  /** An owner's word on a call; undefined where nobody waits for it any more. held in ms: how long the owner kept the request. */
+  /** Handles an owner's reply, which it held back for `held` ms. @returns undefined where the call is no longer pending */
   ended(
     ticket: string,
     outcome: QueueOutcome,
@@ -120,14 +124,14 @@
     if (pendingCall === undefined) return undefined;
     const isLate = now - pendingCall.since >= pendingCall.patience;
     if (outcome.kind === "unknown") pendingCall.doubtful = true;
-    if (outcome.kind !== "confirmed" && !isLate && !isOnce(pendingCall.command)) {
-      /** Taken nowhere, or idempotent by its key: looked for again at the next beat. */
+    if (outcome.kind !== "confirmed" && !isLate && !mustNotRepeat(pendingCall.command)) {
+      // Accepted by no owner, or idempotent by its key: a later tick sends it again.
       pendingCall.sentTo = undefined;
       pendingCall.sentAt = now;
       return [];
     }
     this.#pendingCalls.delete(ticket);
-    /** A refusal is final only if no earlier send of this pending call may still be taken. */
+    // A refusal is final only if no earlier copy of this call may still be accepted.
     const isRefusal =
       outcome.kind === "elsewhere" ||
       (outcome.kind === "confirmed" &&
@@ -140,15 +144,17 @@
     );
   }
 
-  /** Ends the calls whose patience is over, and sends again what may be sent again. */
+  /** Ends calls that timed out, and resends the others where that is allowed. */
   beat(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     const holdsLease = this.#membership.holds(now);
     for (const [ticket, pendingCall] of [...this.#pendingCalls]) {
-      if (isOver(pendingCall, holdsLease, now)) {
+      if (hasExpired(pendingCall, holdsLease, now)) {
         this.#pendingCalls.delete(ticket);
-        outputs.push(...pendingCall.onResult(outcomeUnheard(pendingCall), now, pendingCall.since));
-      } else if (this.#isDueAgain(pendingCall, now)) {
+        outputs.push(
+          ...pendingCall.onResult(outcomeWithoutReply(pendingCall), now, pendingCall.since),
+        );
+      } else if (this.#shouldResend(pendingCall, now)) {
         if (pendingCall.sentTo !== undefined) pendingCall.doubtful = true;
         outputs.push(...this.#send(ticket, pendingCall, now));
       }
@@ -156,30 +162,34 @@
     return outputs;
   }
 
-  #isDueAgain(pendingCall: PendingCall, now: number): boolean {
+  #shouldResend(pendingCall: PendingCall, now: number): boolean {
     const { sentTo, sentAt, command, queue, hold } = pendingCall;
-    const unanswered = now - sentAt;
-    if (sentTo === undefined) return unanswered >= constants.ownerRetry;
-    if (isOnce(command)) return false;
-    /** Whoever it was sent to is the owner no more, and may never answer. */
-    if (this.owner(queue) !== sentTo) return unanswered >= constants.ownerRetry;
-    return unanswered >= constants.grantLasts + hold;
+    const sinceSent = now - sentAt;
+    if (sentTo === undefined) return sinceSent >= constants.ownerRetry;
+    if (mustNotRepeat(command)) return false;
+    // The addressee is no longer the owner and may never reply.
+    if (this.owner(queue) !== sentTo) return sinceSent >= constants.ownerRetry;
+    return sinceSent >= constants.grantLasts + hold;
   }
 }
 
-/** A node that heard nothing of its owner and lost its lease is cut off: the caller does better at another. */
-function isOver(pendingCall: PendingCall, holdsLease: boolean, now: number): boolean {
-  const isHopeless = !holdsLease && pendingCall.doubtful && pendingCall.command.kind === "hand-in";
-  return now - pendingCall.since >= pendingCall.patience || isHopeless;
+/**
+ * Whether a call ends without a reply: at its timeout, or as soon as a submission is unanswered and the node has lost its lease.
+ * Such a node is partitioned, and its caller should try another node.
+ */
+function hasExpired(pendingCall: PendingCall, holdsLease: boolean, now: number): boolean {
+  const isCutOff = !holdsLease && pendingCall.doubtful && pendingCall.command.kind === "hand-in";
+  return now - pendingCall.since >= pendingCall.patience || isCutOff;
 }
 
-function outcomeUnheard(pendingCall: PendingCall): QueueOutcome {
+/** Outcome of a call that no owner replied to. */
+function outcomeWithoutReply(pendingCall: PendingCall): QueueOutcome {
   return pendingCall.sentTo !== undefined || pendingCall.doubtful
     ? { kind: "unknown" }
     : { kind: "elsewhere", reason: "the queue's owner cannot be reached" };
 }
 
-/** A draw asked for twice would take two prompts. */
-function isOnce(command: QueueCommand): boolean {
+/** Whether a repetition does harm: a repeated dequeue command would take two prompts. */
+function mustNotRepeat(command: QueueCommand): boolean {
   return command.kind === "pop" || command.kind === "draw";
 }
--- a/packages/data/src/relay-core.ts
+++ b/packages/data/src/relay-core.ts
@@ -1,4 +1,7 @@
-/** Live requests on passages, passed through to runners; without I/O (docs/design.md §13.5). */
+/**
+ * Relays live requests on passages to runners, retries them where that is safe, and streams the result back. A pure state
+ * machine without I/O (docs/design.md §13.5).
+ */
 import { constants, type Policy, type Tenancy } from "@chutewick/parts";
 import type { Passage } from "@chutewick/control";
 import { hashOf, type Choice, type Chosen, type GoEnd } from "./choice.js";
@@ -11,86 +14,100 @@
 import { TenantDirectory, type Identity } from "./tenants.js";
 import type { UsageCounter } from "./usage/usage-counter.js";
 
-/** Statuses that promise that a request did not run: of a runner they count only with its word that it did not. */
-const promises = new Set([408, 421, 429, 503]);
+/**
+ * Statuses by which this node promises its caller that the request did not run. From a runner they are trusted only together
+ * with its explicit statement that it did not run the request, which arrives as a `refused` event.
+ */
+const notRunStatuses = new Set([408, 421, 429, 503]);
 
-/** A request that is served: where, and on whose behalf. */
+/** A request that passed the checks on arrival, with its passage and the identity of its caller. */
 interface Admitted {
   readonly request: PassRequest;
   readonly passage: Passage;
   readonly identity: Identity;
 }
 
-/** Ranks above it are those of items. */
-const LIVE_RANK_MOST = 4;
+/** Highest rank of a live request; the ranks above it belong to items of lots. */
+const MAX_LIVE_RANK = 4;
 
-interface Live {
+/** A live request under way, from its arrival until its caller has the last output. */
+interface RelayedRequest {
   readonly ticket: string;
   readonly request: PassRequest;
   readonly passage: Passage;
   readonly pool: string;
-  /** Name of the tenant that it is served for, where one is known. */
+  /** Name of the tenant on whose behalf the request is served; undefined where the configuration names no tenants. */
   readonly tenant: string | undefined;
   readonly tenancy: Tenancy | undefined;
-  /** 0 goes first. */
+  /** Priority; 0 is served first. */
   readonly rank: number;
   readonly arrivedAt: number;
-  /** Until when anything may be told at all, and until when a runner may be found. */
+  /** Monotonic time (ms) by which the request must be answered. */
   readonly deadline: number;
-  readonly waitsUntil: number;
-  /** A second run does no harm. */
+  /** Monotonic time (ms) until which the request may wait for a free runner. */
+  readonly waitDeadline: number;
+  /** Whether the request may safely run more than once. */
   readonly repeatable: boolean;
-  readonly tried: Set<string>;
-  /** Runners that it was sent to, and goes that never went out. */
-  sent: number;
+  readonly triedRunners: Set<string>;
+  /** Attempts of which bytes were sent to a runner; counted when they end. */
+  sentAttempts: number;
+  /** Attempts that failed before their first byte was sent. */
   unsent: number;
-  go: Go | undefined;
+  /** The attempt under way. */
+  go: Attempt | undefined;
   mayHaveRun: boolean;
-  /** s. The shortest wait that a runner told. */
+  /** Shortest Retry-After (s) of the runners that refused the request. */
   retryAfter: number | undefined;
-  /** Told to the caller; from there on the result is this one or breaks off. */
+  /** Whether the caller has received the response head. From then on the result is completed or cut off, never replaced. */
   opened: boolean;
-  /** Number of the last event that was passed on, and whether all bore numbers. */
+  /** Number of the last event that was forwarded to the caller. */
   last: number | undefined;
-  numbered: boolean;
-  slow: boolean;
-  /** What went wrong last, told to the caller when nothing else can be tried. */
+  /** Whether every event so far had a number, so that another runner can resume the stream. */
+  allEventsNumbered: boolean;
+  /** Whether the caller reads slower than the runner sends, so that reading from the runner is paused. */
+  isCallerSlow: boolean;
+  /** The most recent failure; reported to the caller when no further attempt is possible. */
   failure: RelayFailure;
-  /** Counted as one that began to run: another run of the same try is no other request. */
+  /** Whether usage has counted the request as started: a retry of the same request is not counted again. */
   isCounted: boolean;
 }
 
-interface Go {
+/** One attempt to run a request on a runner. */
+interface Attempt {
   readonly number: number;
-  readonly live: Live;
+  readonly live: RelayedRequest;
   readonly chosen: Chosen;
+  /** Monotonic time (ms) after which the attempt is of no use. */
   readonly until: number;
-  began: boolean;
-  /** Window of usage in which it went out; undefined where none is counted. */
+  /** Whether sending was permitted; from then on the request may have run. */
+  hasStarted: boolean;
+  /** Usage window in which the attempt was sent; undefined where no usage is counted. */
   window?: number | undefined;
-  /** Last sign of it here. */
+  /** Monotonic time (ms) of the last event of this attempt. */
   heardAt: number;
   head: { readonly status: number; readonly headers: readonly string[] } | undefined;
-  /** Of a result that is no stream: kept until it is whole. */
-  kept: Uint8Array[];
-  size: number;
+  /** Body of a result that is not a stream, buffered until it is complete or too large to buffer. */
+  bufferedChunks: Uint8Array[];
+  receivedBytes: number;
 }
 
+/** The relay of one access node: all live requests on passages that it has under way. */
 export class RelayCore {
   readonly passages: PassageIndex;
   readonly tenants: TenantDirectory;
   #fleet: FleetView;
-  #choice: Choice;
+  #balancer: Choice;
   #policy: Policy;
   #usage: UsageCounter | undefined;
-  #live = new Map<string, Live>();
-  #gos = new Map<number, Go>();
-  /** Those without a runner, in the order of their coming. */
-  #waiting = new Set<Live>();
-  #isRefusing = false;
-  #sleep = new SleepDetector(Number.POSITIVE_INFINITY);
-  /** Bytes of the bodies of requests under way. */
-  #bytes = 0;
+  #requests = new Map<string, RelayedRequest>();
+  #attempts = new Map<number, Attempt>();
+  /** Requests that wait for a free runner, in order of arrival. */
+  #waiting = new Set<RelayedRequest>();
+  #refusesNew = false;
+  #sleepDetector = new SleepDetector(Number.POSITIVE_INFINITY);
+  /** Total size of the bodies of the requests under way. */
+  #bodyBytes = 0;
+  /** Counters by the names that /status shows. */
   readonly counts = {
     passed: 0,
     passedWhole: 0,
@@ -111,56 +128,58 @@
     this.#fleet = fleet;
     this.passages = new PassageIndex(fleet);
     this.tenants = new TenantDirectory(fleet);
-    this.#choice = choice;
+    this.#balancer = choice;
     this.#policy = policy;
     this.#usage = usage;
   }
 
+  /** Number of requests under way. */
   get busy(): number {
-    return this.#live.size;
+    return this.#requests.size;
   }
 
-  has(go: number): boolean {
-    return this.#gos.has(go);
+  has(attempt: number): boolean {
+    return this.#attempts.has(attempt);
   }
 
-  /** A planned stop has come so far that new requests may outlast it: they are refused, those under way go on. */
+  /** Refuses new requests from now on, since they may outlast the planned stop; requests under way continue. */
   refuseNew(): void {
-    this.#isRefusing = true;
+    this.#refusesNew = true;
   }
 
-  /** A planned stop is over: whatever is under way gets its last answer now. */
+  /** Ends all requests under way at the end of a planned stop, each with a final answer. */
   giveLastAnswers(now: number): PassOutput[] {
     const outputs: PassOutput[] = [];
-    for (const live of [...this.#live.values()]) {
+    for (const live of [...this.#requests.values()]) {
       live.failure = { kind: "node-ends" };
-      if (live.go?.began === true) live.mayHaveRun = true;
+      if (live.go?.hasStarted === true) live.mayHaveRun = true;
       this.#giveUp(live, now, outputs);
     }
     return outputs;
   }
 
+  /** Admits or refuses a new request. */
   arrive(ticket: string, request: PassRequest, now: number): PassOutput[] {
     this.counts.passed += 1;
-    if (this.#isRefusing)
-      return this.#turnAway(ticket, 503, constants.retryAfter, "this node is about to stop");
+    if (this.#refusesNew)
+      return this.#refuse(ticket, 503, constants.retryAfter, "this node is about to stop");
     if (!this.#fleet.serves(now))
-      return this.#turnAway(ticket, 503, constants.knownAfter, "this node may not serve now");
+      return this.#refuse(ticket, 503, constants.knownAfter, "this node may not serve now");
     const found = this.passages.find(request.host, request.path);
-    if (found === undefined) return this.#turnAwayUnknown(ticket, now);
+    if (found === undefined) return this.#refuseUnknownPassage(ticket, now);
     const identity = this.tenants.identify(found.passage, request.credential);
-    if (identity === undefined) return this.#turnAwayUnauthorized(ticket, now);
-    if (this.#bytes + request.body.length > this.#policy.memory * constants.bodiesPart)
-      return this.#turnAway(ticket, 503, constants.retryAfter, "this node holds as much as it may");
-    return this.#take(ticket, { request, passage: found.passage, identity }, now);
+    if (identity === undefined) return this.#refuseUnauthorized(ticket, now);
+    if (this.#bodyBytes + request.body.length > this.#policy.memory * constants.bodiesPart)
+      return this.#refuse(ticket, 503, constants.retryAfter, "this node holds as much as it may");
+    return this.#admit(ticket, { request, passage: found.passage, identity }, now);
   }
 
-  #take(ticket: string, { request, passage, identity }: Admitted, now: number): PassOutput[] {
+  #admit(ticket: string, { request, passage, identity }: Admitted, now: number): PassOutput[] {
     const { tenancy, rank } = identity;
-    const patience = request.patience ?? passage.guard;
-    const deadline = now + (patience >= 0 ? Math.min(passage.guard, patience) : passage.guard);
+    const timeout = request.patience ?? passage.guard;
+    const deadline = now + (timeout >= 0 ? Math.min(passage.guard, timeout) : passage.guard);
     const wait = passage.aim > 0 ? passage.aim * constants.waitPart : constants.waitUntold;
-    const live: Live = {
+    const live: RelayedRequest = {
       ticket,
       request,
       passage,
@@ -170,355 +189,385 @@
       rank: rank ?? passage.rank,
       arrivedAt: now,
       deadline,
-      waitsUntil: Math.min(now + wait, deadline - constants.worthLeast),
+      waitDeadline: Math.min(now + wait, deadline - constants.worthLeast),
       repeatable: passage.kind === "safe" || (passage.kind === "stream" && passage.resumable),
-      tried: new Set(),
-      sent: 0,
+      triedRunners: new Set(),
+      sentAttempts: 0,
       unsent: 0,
       go: undefined,
       mayHaveRun: false,
       retryAfter: undefined,
       opened: false,
       last: request.resumeAfter,
-      numbered: true,
-      slow: false,
+      allEventsNumbered: true,
+      isCallerSlow: false,
       failure: { kind: "no-runner-known" },
       isCounted: false,
     };
-    this.#live.set(ticket, live);
-    this.#bytes += request.body.length;
+    this.#requests.set(ticket, live);
+    this.#bodyBytes += request.body.length;
     const outputs: PassOutput[] = [];
     this.#send(live, now, outputs);
     return outputs;
   }
 
-  /** Only a node that holds a lease has every acknowledged change; another one may not know of a passage that was added. */
-  #turnAwayUnknown(ticket: string, now: number): PassOutput[] {
+  /**
+   * Only a node that holds a lease is certain to have every acknowledged change. Without one it answers 503 and not 404, since
+   * it may not know a passage that was added.
+   */
+  #refuseUnknownPassage(ticket: string, now: number): PassOutput[] {
     if (!this.#fleet.holds(now))
-      return this.#turnAway(
+      return this.#refuse(
         ticket,
         503,
         constants.knownAfter,
         "there is no passage at this host and path in a configuration that may be out of date",
       );
     this.counts.passUnknown += 1;
-    return this.#turnAway(ticket, 404, undefined, "there is no passage at this host and path");
+    return this.#refuse(ticket, 404, undefined, "there is no passage at this host and path");
   }
 
-  /** As with a passage that is not there: one without a lease may lack a credential that was added. */
-  #turnAwayUnauthorized(ticket: string, now: number): PassOutput[] {
+  /** Answers 503 and not 401 without a lease, since the node may not know a credential that was added. */
+  #refuseUnauthorized(ticket: string, now: number): PassOutput[] {
     if (!this.#fleet.holds(now))
-      return this.#turnAway(
+      return this.#refuse(
         ticket,
         503,
         constants.knownAfter,
         "no tenant holds this credential in a configuration that may be out of date",
       );
     this.counts.passUnauthorized += 1;
-    return this.#turnAway(ticket, 401, undefined, "a credential of a tenant is needed here");
+    return this.#refuse(ticket, 401, undefined, "a credential of a tenant is needed here");
   }
 
-  /** The caller is gone: what runs for it is broken off. */
+  /** Abandons the request of a caller that disconnected. */
   left(ticket: string, now: number): PassOutput[] {
-    const live = this.#live.get(ticket);
+    const live = this.#requests.get(ticket);
     if (live === undefined) return [];
     this.counts.passLeft += 1;
     const outputs: PassOutput[] = [];
-    this.#close(live, "left", now, outputs);
-    return this.#look(now, outputs);
+    this.#finish(live, "left", now, outputs);
+    return this.#dispatchWaiting(now, outputs);
   }
 
+  /** Pauses reading from the runner while the caller reads slowly. */
   slow(ticket: string): PassOutput[] {
-    const live = this.#live.get(ticket);
-    if (live === undefined || live.slow) return [];
-    live.slow = true;
+    const live = this.#requests.get(ticket);
+    if (live === undefined || live.isCallerSlow) return [];
+    live.isCallerSlow = true;
     return live.go === undefined ? [] : [{ kind: "pass-pause", go: live.go.number }];
   }
 
+  /** Resumes reading from the runner once the caller reads again. */
   ready(ticket: string): PassOutput[] {
-    const live = this.#live.get(ticket);
-    if (live === undefined || !live.slow) return [];
-    live.slow = false;
+    const live = this.#requests.get(ticket);
+    if (live === undefined || !live.isCallerSlow) return [];
+    live.isCallerSlow = false;
     return live.go === undefined ? [] : [{ kind: "pass-resume", go: live.go.number }];
   }
 
-  /** The last look before the first byte: connecting may have taken long, and this process may have slept. */
+  /**
+   * Checks an attempt right before its first byte is sent, because connecting may have taken long and this process may have been
+   * suspended.
+   * @returns why it must not be sent; undefined where it may be
+   */
   mayStart(number: number, now: number): string | undefined {
-    const go = this.#gos.get(number);
-    if (go === undefined) return "it is not wanted any more";
-    const { runner, incarnation } = go.chosen;
-    if (now >= go.until - constants.worthLeast) return "too little time is left";
+    const attempt = this.#attempts.get(number);
+    if (attempt === undefined) return "it is not wanted any more";
+    const { runner, incarnation } = attempt.chosen;
+    if (now >= attempt.until - constants.worthLeast) return "too little time is left";
     if (!this.#fleet.serves(now)) return "this node may not serve now";
-    if (this.#fleet.isClosed(runner, incarnation) || !this.#choice.stands(go.chosen, now))
+    if (this.#fleet.isClosed(runner, incarnation) || !this.#balancer.stands(attempt.chosen, now))
       return "the runner is gone";
-    go.began = true;
-    go.window ??= this.#usage?.windowAt(now);
-    go.heardAt = now;
+    attempt.hasStarted = true;
+    attempt.window ??= this.#usage?.windowAt(now);
+    attempt.heardAt = now;
     return undefined;
   }
 
+  /** Handles an event of the connection on which an attempt runs. */
   goEvent(number: number, event: PassEvent, now: number): PassOutput[] {
-    const go = this.#gos.get(number);
-    if (go === undefined) return [];
-    go.heardAt = now;
+    const run = this.#attempts.get(number);
+    if (run === undefined) return [];
+    run.heardAt = now;
     const outputs: PassOutput[] = [];
     switch (event.kind) {
       case "event":
-        this.#event(go, event.number, event.bytes, now, outputs);
+        this.#handleEvent(run, event.number, event.bytes, now, outputs);
         return outputs;
       case "data":
-        this.#data(go, event.bytes, outputs);
+        this.#handleData(run, event.bytes, outputs);
         return outputs;
       case "head":
-        this.#head(go, event.status, event.headers, event.stamped, now, outputs);
+        this.#handleHead(run, event.status, event.headers, event.stamped, now, outputs);
         break;
       case "end":
-        this.#end(go, now, outputs);
+        this.#handleEnd(run, now, outputs);
         break;
       case "unsent":
-        go.live.unsent += 1;
-        go.live.failure = { kind: "unsent", reason: event.reason };
-        this.#part(go, "unsent", undefined, now);
-        this.#goOn(go.live, now, outputs);
+        run.live.unsent += 1;
+        run.live.failure = { kind: "unsent", reason: event.reason };
+        this.#endAttempt(run, "unsent", undefined, now);
+        this.#retry(run.live, now, outputs);
         break;
       case "refused":
-        go.live.sent += 1;
-        go.live.failure = { kind: event.otherRunner ? "other-runner" : "no-seat" };
+        run.live.sentAttempts += 1;
+        run.live.failure = { kind: event.otherRunner ? "other-runner" : "no-seat" };
         if (event.retryAfter !== undefined)
-          go.live.retryAfter = Math.min(event.retryAfter, go.live.retryAfter ?? event.retryAfter);
-        this.#part(go, "refused", event.retryAfter, now);
-        this.#goOn(go.live, now, outputs);
+          run.live.retryAfter = Math.min(event.retryAfter, run.live.retryAfter ?? event.retryAfter);
+        this.#endAttempt(run, "refused", event.retryAfter, now);
+        this.#retry(run.live, now, outputs);
         break;
       case "broken":
-        this.#broken(go, event.reason, now, outputs);
+        this.#handleBroken(run, event.reason, now, outputs);
         break;
     }
-    return this.#look(now, outputs);
+    return this.#dispatchWaiting(now, outputs);
   }
 
+  /** Ends requests that are past their deadline, and moves requests away from silent runners. */
   beat(now: number): PassOutput[] {
     const outputs: PassOutput[] = [];
-    /** After a sleep of this process signs may wait to be read. */
-    this.#sleep.observe(now);
-    const awake = this.#sleep.awakeFor(now) > constants.rescueAfter;
-    for (const live of this.#live.values()) {
+    // After a suspension of this process, events of live runners may still wait to be read.
+    this.#sleepDetector.observe(now);
+    const awake = this.#sleepDetector.awakeFor(now) > constants.rescueAfter;
+    for (const live of this.#requests.values()) {
       if (awake && now < live.deadline && live.repeatable && live.go !== undefined)
-        this.#rescue(live, live.go, now, outputs);
+        this.#rescueIfSilent(live, live.go, now, outputs);
       if (now < live.deadline) continue;
       live.failure = { kind: "time-up" };
-      if (live.go?.began === true) live.mayHaveRun = true;
+      if (live.go?.hasStarted === true) live.mayHaveRun = true;
       this.#giveUp(live, now, outputs);
     }
-    return this.#look(now, outputs);
+    return this.#dispatchWaiting(now, outputs);
   }
 
-  /** What may be repeated goes on elsewhere when its runner gives no sign at all, on any work: it is dark, so nobody is at work on it. */
-  #rescue(live: Live, go: Go, now: number, outputs: PassOutput[]): void {
+  /**
+   * Moves a repeatable request to another runner when its runner has sent nothing on any of its work: the runner is unreachable,
+   * and so nobody works on the request.
+   */
+  #rescueIfSilent(
+    live: RelayedRequest,
+    attempt: Attempt,
+    now: number,
+    outputs: PassOutput[],
+  ): void {
     if (
-      !go.began ||
-      now - go.heardAt < constants.rescueAfter ||
-      !this.#mayTry(live, now, 1) ||
-      !this.#choice.isQuiet(go.number, now)
+      !attempt.hasStarted ||
+      now - attempt.heardAt < constants.rescueAfter ||
+      !this.#mayAttempt(live, now, 1) ||
+      !this.#balancer.isQuiet(attempt.number, now)
     )
       return;
-    if (live.opened && (live.passage.kind !== "stream" || !live.numbered)) return;
+    if (live.opened && (live.passage.kind !== "stream" || !live.allEventsNumbered)) return;
     this.counts.passRescued += 1;
-    this.#spoilt(go, "the runner gives no sign", now, outputs);
+    this.#discardResult(attempt, "the runner gives no sign", now, outputs);
   }
 
-  #head(
-    go: Go,
+  #handleHead(
+    attempt: Attempt,
     status: number,
     headers: readonly string[],
     stamped: boolean,
     now: number,
     outputs: PassOutput[],
   ): void {
-    const { live } = go;
-    if ((status >= 200 && status < 300 && !stamped) || promises.has(status))
-      return this.#spoilt(
-        go,
+    const { live } = attempt;
+    if ((status >= 200 && status < 300 && !stamped) || notRunStatuses.has(status))
+      return this.#discardResult(
+        attempt,
         "the runner's result bears no stamp, or promises what it may not",
         now,
         outputs,
       );
-    /** Any other answer shows that the runner had begun when it was sent there; a stream begins with its first event. */
-    if (live.passage.kind !== "stream") this.#countStart(live, go.window);
-    /** Of a run that goes on for another only its events count. */
+    // Any other response shows that the runner started the request; a stream counts as started with its first event.
+    if (live.passage.kind !== "stream") this.#countStart(live, attempt.window);
+    // The caller already has a head, so a resumed attempt can only contribute events.
     if (live.opened && (status < 200 || status >= 300))
-      return this.#spoilt(go, `the runner answered ${status}`, now, outputs);
-    if (status >= 500 && live.repeatable && this.#mayTry(live, now, 1)) {
-      live.sent += 1;
+      return this.#discardResult(attempt, `the runner answered ${status}`, now, outputs);
+    if (status >= 500 && live.repeatable && this.#mayAttempt(live, now, 1)) {
+      live.sentAttempts += 1;
       live.mayHaveRun = true;
       live.failure = { kind: "runner-status", status };
-      /** The rest of it is read away by the link, whose connection stays good. */
-      this.#part(go, "failed", undefined, now);
-      return this.#goOn(live, now, outputs);
+      // The rest of the response is read and discarded, so the connection can be reused.
+      this.#endAttempt(attempt, "failed", undefined, now);
+      return this.#retry(live, now, outputs);
     }
-    go.head = { status, headers };
-    if (live.passage.kind === "stream" && status < 300) this.#choice.sign(go.number, now);
-    else this.#choice.first(go.number, now);
+    attempt.head = { status, headers };
+    if (live.passage.kind === "stream" && status < 300) this.#balancer.sign(attempt.number, now);
+    else this.#balancer.first(attempt.number, now);
   }
 
-  /** A request counts once, in the window in which a runner first began to work on it (§14.2). */
-  #countStart(live: Live, window: number | undefined): void {
+  /** Counts a request once, in the usage window in which a runner first started it (§14.2). */
+  #countStart(live: RelayedRequest, window: number | undefined): void {
     if (live.isCounted || live.tenant === undefined || window === undefined) return;
     live.isCounted = true;
     this.#usage?.began(live.tenant, window);
   }
 
-  #event(
-    go: Go,
+  #handleEvent(
+    attempt: Attempt,
     number: number | undefined,
     bytes: Uint8Array,
     now: number,
     outputs: PassOutput[],
   ): void {
-    const { live } = go;
-    if (number === undefined) live.numbered = false;
-    /** A run that goes on for another may tell again what came before. */
+    const { live } = attempt;
+    if (number === undefined) live.allEventsNumbered = false;
+    // A resumed attempt may repeat events that were already forwarded.
     else if (live.last !== undefined && number <= live.last) return;
     else live.last = number;
-    if (go.size === 0) {
-      this.#choice.first(go.number, now);
+    if (attempt.receivedBytes === 0) {
+      this.#balancer.first(attempt.number, now);
       this.#countStart(live, this.#usage?.windowAt(now));
-    } else this.#choice.sign(go.number, now);
-    go.size += bytes.length;
-    this.#open(go, outputs);
+    } else this.#balancer.sign(attempt.number, now);
+    attempt.receivedBytes += bytes.length;
+    this.#sendHead(attempt, outputs);
     outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
   }
 
-  #data(go: Go, bytes: Uint8Array, outputs: PassOutput[]): void {
-    const { live } = go;
+  /** Forwards a chunk; before the head is sent, buffers it as long as the result is small enough. */
+  #handleData(attempt: Attempt, bytes: Uint8Array, outputs: PassOutput[]): void {
+    const { live } = attempt;
     if (live.opened) {
       outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
       return;
     }
-    go.kept.push(bytes);
-    go.size += bytes.length;
-    if (go.size <= constants.wholeMost) return;
-    this.#open(go, outputs);
-    for (const each of go.kept)
+    attempt.bufferedChunks.push(bytes);
+    attempt.receivedBytes += bytes.length;
+    if (attempt.receivedBytes <= constants.wholeMost) return;
+    this.#sendHead(attempt, outputs);
+    for (const each of attempt.bufferedChunks)
       outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes: each });
-    go.kept = [];
+    attempt.bufferedChunks = [];
   }
 
-  #open(go: Go, outputs: PassOutput[]): void {
-    if (go.live.opened) return;
-    go.live.opened = true;
+  /** Sends the response head to the caller, once. */
+  #sendHead(attempt: Attempt, outputs: PassOutput[]): void {
+    if (attempt.live.opened) return;
+    attempt.live.opened = true;
     outputs.push({
       kind: "pass-head",
-      ticket: go.live.ticket,
-      status: go.head!.status,
-      headers: go.head!.headers,
+      ticket: attempt.live.ticket,
+      status: attempt.head!.status,
+      headers: attempt.head!.headers,
     });
   }
 
-  #end(go: Go, now: number, outputs: PassOutput[]): void {
-    const { live } = go;
-    if (go.head === undefined) return this.#broken(go, "the result had no head", now, outputs);
-    const { status } = go.head;
-    this.#open(go, outputs);
-    for (const bytes of go.kept) outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
+  /** Completes the request with the runner's whole result. */
+  #handleEnd(attempt: Attempt, now: number, outputs: PassOutput[]): void {
+    const { live } = attempt;
+    if (attempt.head === undefined)
+      return this.#handleBroken(attempt, "the result had no head", now, outputs);
+    const { status } = attempt.head;
+    this.#sendHead(attempt, outputs);
+    for (const bytes of attempt.bufferedChunks)
+      outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
     outputs.push({ kind: "pass-end", ticket: live.ticket });
     if (status >= 200 && status < 300) this.counts.passedWhole += 1;
     else this.counts.passedOn += 1;
-    this.#part(go, status >= 500 ? "failed" : "done", undefined, now);
-    this.#close(live, "done", now, outputs);
+    this.#endAttempt(attempt, status >= 500 ? "failed" : "done", undefined, now);
+    this.#finish(live, "done", now, outputs);
   }
 
-  /** A result that must not be shown: its connection is ended. */
-  #spoilt(go: Go, reason: string, now: number, outputs: PassOutput[]): void {
-    outputs.push({ kind: "pass-abandon", go: go.number });
-    this.#broken(go, reason, now, outputs);
+  /** Rejects a result that must not reach the caller, and closes its connection. */
+  #discardResult(attempt: Attempt, reason: string, now: number, outputs: PassOutput[]): void {
+    outputs.push({ kind: "pass-abandon", go: attempt.number });
+    this.#handleBroken(attempt, reason, now, outputs);
   }
 
-  #broken(go: Go, reason: string, now: number, outputs: PassOutput[]): void {
-    const { live } = go;
-    live.sent += 1;
+  /** Ends an attempt without a usable result: a repeatable request is retried, any other one fails. */
+  #handleBroken(attempt: Attempt, reason: string, now: number, outputs: PassOutput[]): void {
+    const { live } = attempt;
+    live.sentAttempts += 1;
     live.mayHaveRun = true;
     live.failure = { kind: "broken", reason };
-    this.#part(go, "broken", undefined, now);
-    if (live.repeatable && (!live.opened || (live.passage.kind === "stream" && live.numbered)))
-      return this.#goOn(live, now, outputs);
+    this.#endAttempt(attempt, "broken", undefined, now);
+    if (
+      live.repeatable &&
+      (!live.opened || (live.passage.kind === "stream" && live.allEventsNumbered))
+    )
+      return this.#retry(live, now, outputs);
     this.#giveUp(live, now, outputs);
   }
 
-  /** Takes a go off its request. */
-  #part(go: Go, how: GoEnd, retryAfter: number | undefined, now: number): void {
-    this.#gos.delete(go.number);
-    if (go.live.go === go) go.live.go = undefined;
-    this.#choice.end(go.number, how, retryAfter, now);
+  /** Detaches an attempt from its request and reports its outcome to the balancer. */
+  #endAttempt(attempt: Attempt, outcome: GoEnd, retryAfter: number | undefined, now: number): void {
+    this.#attempts.delete(attempt.number);
+    if (attempt.live.go === attempt) attempt.live.go = undefined;
+    this.#balancer.end(attempt.number, outcome, retryAfter, now);
   }
 
-  #mayTry(live: Live, now: number, more: number): boolean {
+  /** Whether another attempt is allowed, with `addedAttempts` counted on top of the sent ones. */
+  #mayAttempt(live: RelayedRequest, now: number, addedAttempts: number): boolean {
     return (
-      live.sent + more < live.passage.goesMost &&
+      live.sentAttempts + addedAttempts < live.passage.goesMost &&
       live.unsent < constants.unsentMost &&
       now < live.deadline - constants.worthLeast
     );
   }
 
-  /** At another runner, or with our own last word at once. */
-  #goOn(live: Live, now: number, outputs: PassOutput[]): void {
-    if (this.#mayTry(live, now, 0)) this.#send(live, now, outputs);
+  /** Tries another runner, or fails the request at once where no attempt is left. */
+  #retry(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
+    if (this.#mayAttempt(live, now, 0)) this.#send(live, now, outputs);
     else this.#giveUp(live, now, outputs);
   }
 
-  #send(live: Live, now: number, outputs: PassOutput[]): void {
+  /** Sends a request to a runner, or lets it wait for one. */
+  #send(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
     const chosen = this.#choose(live, now);
     if (chosen === undefined) {
-      if (now >= live.waitsUntil) return this.#giveUp(live, now, outputs);
+      if (now >= live.waitDeadline) return this.#giveUp(live, now, outputs);
       this.counts.passWaited += this.#waiting.has(live) ? 0 : 1;
       this.#waiting.add(live);
       return;
     }
     this.#waiting.delete(live);
-    const number = this.#choice.nextGo();
-    const go: Go = {
+    const number = this.#balancer.nextGo();
+    const attempt: Attempt = {
       number,
       live,
       chosen,
       until: live.deadline,
-      began: false,
+      hasStarted: false,
       heardAt: now,
       head: undefined,
-      kept: [],
-      size: 0,
+      bufferedChunks: [],
+      receivedBytes: 0,
     };
-    live.go = go;
-    live.tried.add(chosen.runner);
-    this.#gos.set(number, go);
-    this.#choice.begin(number, chosen.runner, live.request, false, now);
+    live.go = attempt;
+    live.triedRunners.add(chosen.runner);
+    this.#attempts.set(number, attempt);
+    this.#balancer.begin(number, chosen.runner, live.request, false, now);
     this.counts.passGos += 1;
     if (live.opened) this.counts.passResumed += 1;
     const work = workOf(live, chosen.runner);
     outputs.push({ kind: "pass-run", go: number, address: chosen.address, work });
-    if (live.slow) outputs.push({ kind: "pass-pause", go: number });
+    if (live.isCallerSlow) outputs.push({ kind: "pass-pause", go: number });
   }
 
-  /** In the pool that its share of the weights gave it, else in another one of the passage. */
-  #choose(live: Live, now: number): Chosen | undefined {
-    const chosen = this.#choice.choose(live.pool, live.request, live.tried, false, now);
+  /** Chooses a runner in the pool that the weights assigned, else in another pool of the passage. */
+  #choose(live: RelayedRequest, now: number): Chosen | undefined {
+    const chosen = this.#balancer.choose(live.pool, live.request, live.triedRunners, false, now);
     if (chosen !== undefined || live.passage.pools.length === 1) return chosen;
     for (const { pool, weight } of live.passage.pools) {
       if (weight <= 0 || pool === live.pool) continue;
-      const other = this.#choice.choose(pool, live.request, live.tried, false, now);
+      const other = this.#balancer.choose(pool, live.request, live.triedRunners, false, now);
       if (other !== undefined) return other;
     }
     return undefined;
   }
 
-  /** Those that wait for a runner, first come first. */
-  #look(now: number, outputs: PassOutput[]): PassOutput[] {
+  /** Tries the requests that wait for a runner, in order of arrival. */
+  #dispatchWaiting(now: number, outputs: PassOutput[]): PassOutput[] {
     for (const live of this.#waiting) this.#send(live, now, outputs);
     return outputs;
   }
 
-  /** The last word at once: a promise only where it surely did not run and never will. */
-  #giveUp(live: Live, now: number, outputs: PassOutput[]): void {
+  /** Fails a request. The answer promises that it did not run only where it certainly did not and never will. */
+  #giveUp(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
     const { ticket } = live;
-    this.#close(live, "broken", now, outputs);
+    this.#finish(live, "broken", now, outputs);
     if (live.opened) {
       this.counts.passCut += 1;
       outputs.push({ kind: "pass-cut", ticket });
@@ -533,28 +582,29 @@
       });
     } else {
       outputs.push(
-        ...this.#turnAway(
+        ...this.#refuse(
           ticket,
           503,
           live.retryAfter ??
-            (this.#choice.knows(live.pool, now) ? constants.seatAfter : constants.knownAfter),
+            (this.#balancer.knows(live.pool, now) ? constants.seatAfter : constants.knownAfter),
           describeFailure(live.failure),
         ),
       );
     }
   }
 
-  #close(live: Live, how: GoEnd, now: number, outputs: PassOutput[]): void {
-    this.#live.delete(live.ticket);
-    this.#bytes -= live.request.body.length;
+  /** Forgets a request and abandons its attempt, if one is under way. */
+  #finish(live: RelayedRequest, outcome: GoEnd, now: number, outputs: PassOutput[]): void {
+    this.#requests.delete(live.ticket);
+    this.#bodyBytes -= live.request.body.length;
     this.#waiting.delete(live);
-    const { go } = live;
-    if (go === undefined) return;
-    outputs.push({ kind: "pass-abandon", go: go.number });
-    this.#part(go, how, undefined, now);
+    const { go: attempt } = live;
+    if (attempt === undefined) return;
+    outputs.push({ kind: "pass-abandon", go: attempt.number });
+    this.#endAttempt(attempt, outcome, undefined, now);
   }
 
-  #turnAway(
+  #refuse(
     ticket: string,
     status: 401 | 404 | 503,
     retryAfter: number | undefined,
@@ -565,12 +615,12 @@
   }
 }
 
-/** What goes to a runner for a live request. */
-function workOf(live: Live, runner: string): PassWork {
+/** The work that is sent to a runner for a live request. */
+function workOf(live: RelayedRequest, runner: string): PassWork {
   return {
     request: live.request,
     runner,
-    rank: Math.min(LIVE_RANK_MOST, live.rank),
+    rank: Math.min(MAX_LIVE_RANK, live.rank),
     until: live.deadline,
     resumeAfter: live.last,
     events: live.passage.kind === "stream",
@@ -579,19 +629,19 @@
   };
 }
 
-/** By weight, and for the same request always the same. */
+/** Chooses a pool by weight; the same request id always gives the same pool. */
 function poolOf(passage: Passage, id: string): string {
   const { pools } = passage;
   if (pools.length === 1) return pools[0]!.pool;
   let sum = 0;
   for (const { weight } of pools) sum += weight;
-  let place = (hashOf(id) / 0x1_0000_0000) * sum;
-  let last = pools[0]!.pool;
+  let remaining = (hashOf(id) / 0x1_0000_0000) * sum;
+  let fallback = pools[0]!.pool;
   for (const { pool, weight } of pools) {
     if (weight <= 0) continue;
-    last = pool;
-    place -= weight;
-    if (place < 0) return pool;
+    fallback = pool;
+    remaining -= weight;
+    if (remaining < 0) return pool;
   }
-  return last;
+  return fallback;
 }
--- a/packages/data/src/relay-failure.ts
+++ b/packages/data/src/relay-failure.ts
@@ -1,22 +1,24 @@
-/** Why a live request on a passage has no result so far, and how its caller is told (docs/design.md §13.5). */
+/** Failures of live requests on passages, and their texts for callers (docs/design.md §13.5). */
 
-/** The last thing that went wrong. */
+/** The most recent failure of a live request. */
 export type RelayFailure =
   | { readonly kind: "no-runner-known" }
-  /** No byte went out. */
+  /** The attempt failed before its first byte was sent. */
   | { readonly kind: "unsent"; readonly reason: string }
-  /** Another incarnation, or another runner, is at the address. */
+  /** Another runner, or another incarnation of the chosen one, answered at its address. */
   | { readonly kind: "other-runner" }
+  /** The runner had no free concurrency slot. */
   | { readonly kind: "no-seat" }
-  /** The runner failed with an HTTP status. */
+  /** The runner answered with an HTTP error status. */
   | { readonly kind: "runner-status"; readonly status: number }
-  /** Bytes went out, and no whole result came back. */
+  /** Bytes were sent, and no complete result was received. */
   | { readonly kind: "broken"; readonly reason: string }
+  /** The deadline of the request passed. */
   | { readonly kind: "time-up" }
-  /** A planned stop of this node has no time left. */
+  /** The time of a planned stop of this node is over. */
   | { readonly kind: "node-ends" };
 
-/** The text that a caller is told. */
+/** Text of a failure, as it is returned to the caller. */
 export function describeFailure(failure: RelayFailure): string {
   switch (failure.kind) {
     case "no-runner-known":
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -231,7 +231,7 @@
     cuts: [
       {
         file: liveRequests,
-        from: "model !== undefined && wantedSeats",
+        from: "model !== undefined && lackedSlots",
         to: "model !== undefined",
       },
     ],
@@ -274,8 +274,8 @@
     cuts: [
       {
         file: relay,
-        from: "(status >= 200 && status < 300 && !stamped) || promises.has(status)",
-        to: "promises.has(status)",
+        from: "(status >= 200 && status < 300 && !stamped) || notRunStatuses.has(status)",
+        to: "notRunStatuses.has(status)",
       },
     ],
   },
