--- a/examples/embed/src/index.ts
+++ b/examples/embed/src/index.ts
@@ -4,7 +4,7 @@
   type ChainMessage,
   type ChainView,
   type Ledger,
-  type Machine,
+  type StateMachine,
   type Member,
 } from "@chutewick/parts";
 
@@ -18,7 +18,7 @@
 }
 
 /** Any deterministic machine over a ledger can be replicated. */
-class Counter implements Machine {
+class Counter implements StateMachine {
   rebuild(): void {
     // Nothing is derived from the records.
   }
@@ -65,7 +65,7 @@
   inquire(name: string, command: Add): unknown {
     this.#ticket += 1;
     const ticket = String(this.#ticket);
-    this.#perform(name, this.#chains.get(name)!.inquire(ticket, command, this.#now));
+    this.#perform(name, this.#chains.get(name)!.execute(ticket, command, this.#now));
     this.#settle();
     return this.#results.get(ticket);
   }
@@ -86,7 +86,7 @@
         this.#queue.push({ to: command.to, from: name, message: command.message });
       /** A real program syncs `command.write` first, and calls `written` only then. */
       else if (command.kind === "write")
-        this.#perform(name, chain.written(command.ticket, this.#now));
+        this.#perform(name, chain.writeCompleted(command.ticket, this.#now));
       else if (command.kind === "result" && command.result.kind === "confirmed")
         this.#results.set(command.ticket, command.result.value);
     }
--- a/features/steps/acknowledgements.ts
+++ b/features/steps/acknowledgements.ts
@@ -84,7 +84,7 @@
   };
   world.timers.push(setInterval(send, SEND_INTERVAL_MS));
   const tick = (): void => wire.beat(performance.now());
-  world.timers.push(setInterval(tick, constants.beatEvery));
+  world.timers.push(setInterval(tick, constants.tickIntervalMs));
 }
 Given(
   /^a process that exchanges messages both ways with one whose hello (says|does not say) that it reads acknowledgements there$/,
@@ -109,7 +109,7 @@
 
 function cameAmongMessages(this: World): void {
   const crossAcknowledgements = acknowledgementsIn(this.messages);
-  const maximum = 2_000 / constants.crossAcknowledgeEvery;
+  const maximum = 2_000 / constants.piggybackedAcknowledgementIntervalMs;
   ok(
     crossAcknowledgements.length >= 4 && crossAcknowledgements.length <= maximum,
     `${crossAcknowledgements.length} came among the messages`,
--- a/features/steps/agreed-time.ts
+++ b/features/steps/agreed-time.ts
@@ -43,13 +43,13 @@
 
 function receiveClock(world: World, control: number, late: number): void {
   const wall = trueTime(world) - late / 2 + world.clockErrors[control]!;
-  world.time.heard({ source: `control-${control + 1}`, wall, late }, world.now);
+  world.time.recordReading({ source: `control-${control + 1}`, wall, late }, world.now);
 }
 
 function checkAgreedTime(world: World): void {
   const time = world.time.at(world.now);
   if (time === undefined) {
-    ok(world.now <= constants.clocksAwaited, `no agreed time after ${world.now} ms`);
+    ok(world.now <= constants.clockWaitMs, `no agreed time after ${world.now} ms`);
     return;
   }
   world.maxError = Math.max(world.maxError, Math.abs(time - trueTime(world)));
@@ -60,7 +60,7 @@
 function advance(world: World, seconds: number): void {
   const end = world.now + seconds * 1_000;
   while (world.now < end) {
-    world.now += constants.beatEvery;
+    world.now += constants.tickIntervalMs;
     world.time.readOwnClock(trueTime(world) + world.ownClockError, world.now);
     if (world.now % HEARTBEAT_INTERVAL_MS === 0) receiveAllClocks(world);
     checkAgreedTime(world);
@@ -127,7 +127,7 @@
   for (const control of this.clockErrors.keys()) {
     // Sent just after the request of the process, and read only now.
     const wall = trueTime(this) - late + ROUND_TRIP_MS;
-    this.time.heard({ source: `control-${control + 1}`, wall, late }, this.now);
+    this.time.recordReading({ source: `control-${control + 1}`, wall, late }, this.now);
   }
   checkAgreedTime(this);
   advance(this, 5);
--- a/features/steps/bucket.ts
+++ b/features/steps/bucket.ts
@@ -124,7 +124,7 @@
           windowSeconds: 1 + chance.below(60),
           capacity: 1 + chance.below(20),
         };
-        state = bucket.relimit(state, limits, after, now);
+        state = bucket.changeLimits(state, limits, after, now);
         model.relimit(after, now);
         limits = after;
       } else if (kind === 2) {
@@ -148,7 +148,7 @@
           waiting -= 1;
         }
       }
-      if (!near(bucket.level(state, limits, now), model.level(now), 1e-6))
+      if (!near(bucket.tokensAt(state, limits, now), model.level(now), 1e-6))
         this.differences.push(`seed ${seed} step ${step}: level`);
     }
   }
@@ -218,7 +218,7 @@
 When("an empty queue is asked {int} times", drawFromEmptyQueue);
 
 function checkLevel(this: World, tokens: number) {
-  equal(bucket.level(this.held, this.limits, 0), tokens);
+  equal(bucket.tokensAt(this.held, this.limits, 0), tokens);
 }
 Then("the bucket holds {int} tokens", checkLevel);
 
--- a/features/steps/calls-node.ts
+++ b/features/steps/calls-node.ts
@@ -1,6 +1,6 @@
 import { configuration, type MarkedConfiguration } from "@chutewick/control";
 import {
-  Choice,
+  RunnerBalancer,
   PassCallers,
   isForCaller,
   PassConnections,
@@ -10,12 +10,12 @@
   type LotCall,
   type LotCaller,
   type PassCaller,
-  type PassEvent,
-  type PassRequest,
-  type PassOutput,
+  type PassageEvent,
+  type PassageRequest,
+  type PassageOutput,
   type Standing,
 } from "@chutewick/data";
-import { callerLimits, policy, type RunnerRegistry, type RunnerCard } from "@chutewick/parts";
+import { callerLimits, policy, type RunnerRegistry, type RunnerDescriptor } from "@chutewick/parts";
 import { PlatformAccess, PlatformDialect } from "@chutewick/platform";
 import { monotonic, type Log } from "@chutewick/shell";
 
@@ -25,7 +25,7 @@
 /** Stands in for what an access node knows of its fleet. */
 class KnownFleet implements FleetView {
   configuration: MarkedConfiguration = configuration.blank;
-  readonly cards: RunnerCard[] = [];
+  readonly cards: RunnerDescriptor[] = [];
   readonly registry: RunnerRegistry = { nodes: [], runners: [] };
 
   serves(): boolean {
@@ -34,7 +34,7 @@
   holds(): boolean {
     return true;
   }
-  runners(): RunnerCard[] {
+  runners(): RunnerDescriptor[] {
     return this.cards;
   }
   isClosed(): boolean {
@@ -74,12 +74,12 @@
   constructor(port: number) {
     this.port = port;
     const self = this;
-    const choice = new Choice(this.known, standing);
-    this.relay = new RelayCore(this.known, choice, policy.usual);
+    const choice = new RunnerBalancer(this.known, standing);
+    this.relay = new RelayCore(this.known, choice, policy.defaults);
     function mayStart(go: number): string | undefined {
       return self.relay.mayStart(go, monotonic());
     }
-    function told(go: number, event: PassEvent): void {
+    function told(go: number, event: PassageEvent): void {
       self.#perform(self.relay.goEvent(go, event, monotonic()));
     }
     function share(): number {
@@ -113,7 +113,7 @@
 
   #desk(): AccessDesk {
     const self = this;
-    function pass(request: PassRequest, caller: PassCaller): string {
+    function pass(request: PassageRequest, caller: PassCaller): string {
       self.#tickets += 1;
       const ticket = `t-${self.#tickets}`;
       self.#callers.add(ticket, caller);
@@ -126,7 +126,7 @@
     return {
       isReady: () => true,
       takesLots: () => false,
-      callerLimits: () => callerLimits.withUsual(self.known.configuration.value.callers),
+      callerLimits: () => callerLimits.withDefaults(self.known.configuration.value.callers),
       pass,
       left,
       slow: ignored,
@@ -145,7 +145,7 @@
     return "refused";
   }
 
-  #perform(outputs: readonly PassOutput[]): void {
+  #perform(outputs: readonly PassageOutput[]): void {
     for (const output of outputs) {
       if (output.kind === "pass-run") this.#links.run(output.go, output.address, output.work);
       else if (output.kind === "pass-abandon") this.#links.abandon(output.go);
--- a/features/steps/calls-runner.ts
+++ b/features/steps/calls-runner.ts
@@ -1,5 +1,5 @@
 import { createServer, type AddressInfo, type Server, type Socket } from "node:net";
-import type { RunnerCard } from "@chutewick/parts";
+import type { RunnerDescriptor } from "@chutewick/parts";
 
 /** Stand-in runners on raw sockets that answer as a runner in trouble may. */
 
@@ -206,7 +206,7 @@
   return runner;
 }
 
-export function cardOf(runner: StandIn): RunnerCard {
+export function cardOf(runner: StandIn): RunnerDescriptor {
   return {
     id: runner.id,
     incarnation: 1,
--- a/features/steps/catch-up.ts
+++ b/features/steps/catch-up.ts
@@ -38,11 +38,11 @@
   this.follower = new Follower();
   this.standing = new Map();
   for (let number = 1; number <= count + 1; number += 1) {
-    this.feed.take(number, changesAt(number, routes));
-    if (number === 1) this.follower.receive(encodeAndDecode(this.feed.since(0)!).copy);
+    this.feed.append(number, changesAt(number, routes));
+    if (number === 1) this.follower.receive(encodeAndDecode(this.feed.messageAfter(0)!).copy);
     if (number !== lateStopIndex && number !== 20) continue;
     const follower = new Follower();
-    follower.receive(encodeAndDecode(this.feed.since(0)!).copy);
+    follower.receive(encodeAndDecode(this.feed.messageAfter(0)!).copy);
     this.standing.set(number, follower);
   }
 }
@@ -52,7 +52,7 @@
 );
 
 function catchUp(feed: Feed, follower: Follower): number {
-  const { copy, bytes } = encodeAndDecode(feed.since(follower.place)!);
+  const { copy, bytes } = encodeAndDecode(feed.messageAfter(follower.place)!);
   ok(follower.receive(copy));
   equal(follower.place, feed.place);
   const record = follower.read<MarkedConfiguration>("configuration")!;
--- a/features/steps/connections.ts
+++ b/features/steps/connections.ts
@@ -79,7 +79,7 @@
     end.wire.beat(performance.now());
   }
   every(world, SEND_INTERVAL_MS, send);
-  every(world, constants.beatEvery, tick);
+  every(world, constants.tickIntervalMs, tick);
 }
 
 async function twoProcesses(this: World): Promise<void> {
@@ -162,8 +162,8 @@
 
 /** Lets the time pass for a connection of a running process, in steps of one tick. */
 function elapse({ progress, written: bytes }: World, milliseconds: number): void {
-  for (let at = 0; at < milliseconds; at += constants.beatEvery)
-    progress.elapse(constants.beatEvery, bytes);
+  for (let at = 0; at < milliseconds; at += constants.tickIntervalMs)
+    progress.elapse(constants.tickIntervalMs, bytes);
 }
 
 function slowLink(this: World, seconds: number): void {
--- a/features/steps/copies.ts
+++ b/features/steps/copies.ts
@@ -5,12 +5,12 @@
   Sessions,
   policy,
   type Bounds,
-  type NodeCard,
+  type NodeDescriptor,
   type ChainCommand,
   type ChainMessage,
   type ChainResult,
   type Ledger,
-  type Machine,
+  type StateMachine,
   type Member,
   type Policy,
 } from "@chutewick/parts";
@@ -24,7 +24,7 @@
   synced: number;
 }
 
-class Counter implements Machine {
+class Counter implements StateMachine {
   apply(ledger: Ledger): number {
     const count = (ledger.read<number>("count") ?? 0) + 1;
     ledger.put("count", count);
@@ -88,14 +88,14 @@
         add(command.to, chains.get(command.to)!.receive(command.message, address, now));
       else if (command.kind === "write") {
         if (command.write.entries.length > 0) synced.add(address);
-        add(address, chains.get(address)!.written(command.ticket, now));
+        add(address, chains.get(address)!.writeCompleted(command.ticket, now));
       } else if (command.kind === "result") {
         this.result = command.result;
         this.synced = synced.size;
       }
     }
-    if (round === 0) add("a0", chains.get("a0")!.inquire("t", {}, now));
-    else for (const [address, chain] of chains) add(address, chain.beat(now));
+    if (round === 0) add("a0", chains.get("a0")!.execute("t", {}, now));
+    else for (const [address, chain] of chains) add(address, chain.tick(now));
   }
 }
 
@@ -115,7 +115,7 @@
 }
 Then("the change is committed on all {int}", checkCommittedOnAll);
 
-class ThousandKeysMachine implements Machine {
+class ThousandKeysMachine implements StateMachine {
   apply(ledger: Ledger, command: unknown): unknown {
     const { from } = command as { from: number };
     for (let index = from; index < from + 1_000; index += 1) ledger.put(`k${index}`, index);
@@ -150,13 +150,13 @@
         for (const next of pair.get(command.to)!.receive(command.message, address, 0))
           queue.push([command.to, next]);
       if (command.kind === "write")
-        for (const next of pair.get(address)!.written(command.ticket, 0))
+        for (const next of pair.get(address)!.writeCompleted(command.ticket, 0))
           queue.push([address, next]);
     }
   }
   settle();
   for (let from = 0; from < 20_000; from += 1_000) {
-    for (const command of pair.get("a0")!.inquire(`t${from}`, { from }, 0))
+    for (const command of pair.get("a0")!.execute(`t${from}`, { from }, 0))
       queue.push(["a0", command]);
     settle();
   }
@@ -178,7 +178,7 @@
   function perform(address: string, commands: readonly ChainCommand[]): void {
     for (const command of commands) {
       if (command.kind === "write")
-        perform(address, chains.get(address)!.written(command.ticket, now));
+        perform(address, chains.get(address)!.writeCompleted(command.ticket, now));
       else if (
         command.kind === "send" &&
         command.to === "a2" &&
@@ -197,7 +197,7 @@
     const arrived = late ? delayed : carried;
     delayed = late ? carried : [];
     for (const message of arrived) perform("a2", joiner.receive(message, "a1", now));
-    for (const [address, chain] of chains) perform(address, chain.beat(now));
+    for (const [address, chain] of chains) perform(address, chain.tick(now));
   }
 }
 When(
@@ -212,7 +212,7 @@
 Then("the copy is complete within 10 s", checkCompleteCopy);
 
 function receiveHeartbeat(sessions: Sessions, place: number, askedAt: number): void {
-  const card: NodeCard = {
+  const card: NodeDescriptor = {
     identity: "storage-1",
     address: "a",
     kind: "storage",
@@ -223,7 +223,7 @@
     place,
     telling: {},
   };
-  sessions.heard(card, 10_000, 11_400, 0, 0, askedAt);
+  sessions.recordHeartbeat(card, 10_000, 11_400, 0, 0, askedAt);
 }
 
 function receiveNewerHeartbeat(this: World): void {
@@ -254,6 +254,6 @@
 );
 
 function checkCountedIndex(this: World, place: number): void {
-  equal(this.sessions.covered(100, 10_001), place);
+  equal(this.sessions.coveredIndex(100, 10_001), place);
 }
 Then("the control machine counts the node at feed index {int}", checkCountedIndex);
--- a/features/steps/copy.ts
+++ b/features/steps/copy.ts
@@ -5,7 +5,7 @@
   type ChainCommand,
   type ChainView,
   type Ledger,
-  type Machine,
+  type StateMachine,
   type Member,
 } from "@chutewick/parts";
 import { Packr } from "msgpackr";
@@ -21,7 +21,7 @@
   appended: number;
 }
 
-class KeyValueMachine implements Machine {
+class KeyValueMachine implements StateMachine {
   apply(ledger: Ledger, command: unknown): number {
     const { key, value } = command as { key: string; value: Uint8Array };
     ledger.put(key, value);
@@ -53,7 +53,7 @@
     let after: readonly ChainCommand[] = [];
     let at = address;
     if (command.kind === "write")
-      after = world.chains.get(address)!.written(command.ticket, world.now);
+      after = world.chains.get(address)!.writeCompleted(command.ticket, world.now);
     else if (command.kind === "send") {
       const bytes = packer.pack(command.message);
       world.largestMessageBytes = Math.max(world.largestMessageBytes, bytes.byteLength);
@@ -71,7 +71,7 @@
 function runFor(world: World, seconds: number): void {
   for (let tick = 0; tick < seconds * 20; tick += 1) {
     world.now += 50;
-    for (const [address, chain] of world.chains) performAll(world, address, chain.beat(world.now));
+    for (const [address, chain] of world.chains) performAll(world, address, chain.tick(world.now));
   }
 }
 
@@ -90,7 +90,7 @@
       first.address,
       world.chains
         .get(first.address)!
-        .inquire(
+        .execute(
           `t${world.appended}`,
           { key: `key-${world.appended}`, value: new Uint8Array(weight) },
           world.now,
--- a/features/steps/deployment.ts
+++ b/features/steps/deployment.ts
@@ -1,11 +1,11 @@
 import { deepEqual, equal, match, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
-  ControlMachine as Records,
+  ControlStateMachine as Records,
   keys,
   type ControlOutcome,
   type ControlResult,
-  type EmptyingState,
+  type DrainState,
 } from "@chutewick/control";
 import { Ledger, policy } from "@chutewick/parts";
 import { settings } from "@chutewick/shell";
@@ -451,7 +451,7 @@
     .told;
 }
 
-function emptyingOf(deployment: Deployment, machine: string, at: ControlMachine): EmptyingState {
+function emptyingOf(deployment: Deployment, machine: string, at: ControlMachine): DrainState {
   const { told } = deployment.order({ kind: "emptying", machine }, at, 4_000);
   ok(told?.kind === "confirmed" && told.value.kind === "EMPTYING", JSON.stringify(told));
   return told.value.state;
--- a/features/steps/disk.ts
+++ b/features/steps/disk.ts
@@ -72,7 +72,7 @@
 function isLonger(this: World): void {
   const { size } = statSync(databaseFileOf(this));
   ok(
-    size >= usedBytes(databaseFileOf(this)) + constants.diskAhead / 2,
+    size >= usedBytes(databaseFileOf(this)) + constants.diskPreallocationBytes / 2,
     `${size} bytes of which ${usedBytes(databaseFileOf(this))} are used`,
   );
 }
--- a/features/steps/duties.ts
+++ b/features/steps/duties.ts
@@ -1,7 +1,7 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Before, Then, When, type DataTable } from "@cucumber/cucumber";
 import {
-  ControlMachine,
+  ControlStateMachine,
   keys,
   numberRanges,
   published,
@@ -21,7 +21,7 @@
 /** ms. */
 const lease = 3_000;
 const subject = "all";
-const records = new ControlMachine();
+const records = new ControlStateMachine();
 
 function freshLedger(this: World): void {
   this.dutyLedger = new Ledger();
--- a/features/steps/feed-progress.ts
+++ b/features/steps/feed-progress.ts
@@ -12,13 +12,13 @@
 }
 
 function receiveHeartbeat(world: World, feedIndex: number): void {
-  world.now += constants.sessionEvery;
+  world.now += constants.heartbeatIntervalMs;
   world.progress.heard(feedIndex, world.ownIndex, world.now);
 }
 
 function receiveHeartbeatsFor(world: World, feedIndex: number, seconds: number): void {
   const end = world.now + seconds * 1_000;
-  while (world.now + constants.sessionEvery <= end) receiveHeartbeat(world, feedIndex);
+  while (world.now + constants.heartbeatIntervalMs <= end) receiveHeartbeat(world, feedIndex);
 }
 
 function givenUpToDateNode(this: World, feedIndex: number): void {
--- a/features/steps/lease-holders.ts
+++ b/features/steps/lease-holders.ts
@@ -9,7 +9,7 @@
   type SessionMessage,
 } from "@chutewick/control";
 import { Membership, MembershipLog } from "@chutewick/data";
-import { Feed, Sessions, constants, type ChainView, type NodeCard } from "@chutewick/parts";
+import { Feed, Sessions, constants, type ChainView, type NodeDescriptor } from "@chutewick/parts";
 import { Deployment, configurationOf, type AccessMachine } from "@chutewick/simulator";
 
 interface World {
@@ -106,7 +106,7 @@
 const FEED_PLACE = 10;
 const GRANTED_AT = 10_000;
 
-function cardOf(identity: string, place: number, free = true): NodeCard {
+function cardOf(identity: string, place: number, free = true): NodeDescriptor {
   return {
     identity,
     address: "node:1",
@@ -122,13 +122,13 @@
 
 function leaseGranted(this: World, place: number): void {
   this.sessions = new Sessions();
-  const leaseUntil = GRANTED_AT + constants.leaseLasts;
-  this.sessions.heard(cardOf("second-life", place), GRANTED_AT, leaseUntil, 0, 0, 500);
+  const leaseUntil = GRANTED_AT + constants.leaseDurationMs;
+  this.sessions.recordHeartbeat(cardOf("second-life", place), GRANTED_AT, leaseUntil, 0, 0, 500);
 }
 Given("a control machine that granted a lease to a node at place {int}", leaseGranted);
 
 function hearsay(this: World, place: number): void {
-  const nodes = [{ card: cardOf("first-life", place), age: constants.sessionEvery }];
+  const nodes = [{ card: cardOf("first-life", place), age: constants.heartbeatIntervalMs }];
   this.sessions.merge({ nodes, runners: [] }, GRANTED_AT + 10, 0);
 }
 When(
@@ -138,13 +138,13 @@
 
 function startsAgain(this: World, place: number): void {
   const now = GRANTED_AT + 400;
-  const leaseUntil = now + constants.leaseLasts;
-  this.sessions.heard(cardOf("third-life", place), now, leaseUntil, 0, 0, 300);
+  const leaseUntil = now + constants.leaseDurationMs;
+  this.sessions.recordHeartbeat(cardOf("third-life", place), now, leaseUntil, 0, 0, 300);
 }
 When("the node starts again and says place {int}", startsAgain);
 
 function countedAt(this: World, place: number): void {
-  equal(this.sessions.covered(FEED_PLACE, GRANTED_AT + 401), place);
+  equal(this.sessions.coveredIndex(FEED_PLACE, GRANTED_AT + 401), place);
 }
 Then("the holders of its leases count as being at place {int}", countedAt);
 
@@ -294,10 +294,14 @@
 function answersLate(this: World, lasts: string, first: string): void {
   const since = this.now;
   while (this.now < since + numberOf(lasts)) {
-    this.now += constants.sessionEvery;
+    this.now += constants.heartbeatIntervalMs;
     this.membership.tell(this.now);
   }
-  for (let askedAt = since; askedAt <= since + numberOf(first); askedAt += constants.sessionEvery)
+  for (
+    let askedAt = since;
+    askedAt <= since + numberOf(first);
+    askedAt += constants.heartbeatIntervalMs
+  )
     answered(this, askedAt);
 }
 When(
@@ -328,7 +332,7 @@
 
 function logsNothing(this: World): void {
   for (let beat = 1; beat <= 5; beat += 1)
-    equal(this.log.changed(this.now + beat * constants.beatEvery), undefined);
+    equal(this.log.changed(this.now + beat * constants.tickIntervalMs), undefined);
 }
 Then("it logs nothing more while nothing changes", logsNothing);
 
--- a/features/steps/lot.ts
+++ b/features/steps/lot.ts
@@ -3,7 +3,7 @@
 import {
   Ledger,
   QueueMachine,
-  type Ending,
+  type ClaimEnding,
   type Item,
   type QueueCommand,
   type QueueResult,
@@ -24,7 +24,7 @@
 function apply(world: World, command: QueueCommand): QueueResult {
   world.now += 1;
   const result = world.machine.apply(world.ledger, command, world.now);
-  world.ledger.takeChanges();
+  world.ledger.drainChanges();
   return result;
 }
 
@@ -98,7 +98,7 @@
   return result;
 }
 
-function endingOf(kind: string): Ending {
+function endingOf(kind: string): ClaimEnding {
   if (kind === "solved") return { kind, result: ["good"] };
   if (kind === "trouble") return { kind, reason: "out of memory" };
   return { kind: kind as "broken" | "unsent" };
@@ -154,7 +154,7 @@
 Then("{int} tokens are left", tokensAreLeft);
 
 function itemIs(this: World, index: number, lot: string, state: string): void {
-  if (this.machine.due(this.ledger, this.now)) apply(this, { kind: "expire" });
+  if (this.machine.isExpiryDue(this.ledger, this.now)) apply(this, { kind: "expire" });
   const status = apply(this, { kind: "status", lot });
   ok(status.kind === "LOT");
   equal(status.items[index]!.state, state);
@@ -174,7 +174,7 @@
 
 function secondsPass(this: World, seconds: number): void {
   this.now += seconds * 1_000;
-  if (this.machine.due(this.ledger, this.now)) apply(this, { kind: "expire" });
+  if (this.machine.isExpiryDue(this.ledger, this.now)) apply(this, { kind: "expire" });
 }
 When("{int} s pass", secondsPass);
 
@@ -233,7 +233,7 @@
           `seed ${seed} step ${step}: ${JSON.stringify(result)} against ${JSON.stringify(other)}`,
         );
       if (result.kind === "TAKEN") claims.push(result);
-      const changes = left.takeChanges();
+      const changes = left.drainChanges();
       for (const [key, value] of changes) {
         if (key.startsWith("item/") && value === undefined) seen.delete(key);
         if (key.startsWith("item/") && value !== undefined)
@@ -241,9 +241,9 @@
       }
       if (step === steps >> 1) {
         const copy = new Ledger();
-        copy.adopt(right.snapshot());
+        copy.applyChanges(right.snapshot());
         right.clear();
-        right.adopt(copy.snapshot());
+        right.applyChanges(copy.snapshot());
         rightMachine = new QueueMachine();
         rightMachine.rebuild(right);
       }
--- a/features/steps/marks.ts
+++ b/features/steps/marks.ts
@@ -1,7 +1,7 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { readFileSync } from "node:fs";
 import { Given, Then, When } from "@cucumber/cucumber";
-import type { ChainHolding, VoteState } from "@chutewick/parts";
+import type { PersistedChain, VoteState } from "@chutewick/parts";
 import { Campaign, Folder, type LotRecord } from "@chutewick/simulator";
 import { Packr } from "msgpackr";
 
@@ -52,7 +52,7 @@
     const kept = packer.unpack(Buffer.from(this.kept.folders[machine.name]!, "base64")) as {
       identity: string;
       votes: VoteState | undefined;
-      holdings: [string, ChainHolding][];
+      holdings: [string, PersistedChain][];
     };
     const folder = new Folder(kept.identity);
     folder.votes = kept.votes;
--- a/features/steps/membership.ts
+++ b/features/steps/membership.ts
@@ -7,7 +7,7 @@
   type ChainMessage,
   type ChainView,
   type Ledger,
-  type Machine,
+  type StateMachine,
   type Member,
 } from "@chutewick/parts";
 import { Chance, Folder } from "@chutewick/simulator";
@@ -17,7 +17,7 @@
   schedule: Schedule;
 }
 
-class RegisterMachine implements Machine {
+class RegisterMachine implements StateMachine {
   apply(ledger: Ledger, command: unknown): number {
     const { value } = command as { value: number };
     ledger.put(`key-${value % 7}`, value);
@@ -93,7 +93,7 @@
     this.entered += 1;
     const chain = this.chains.get(head.address)!;
     const command = { value: this.entered };
-    this.#perform(head.address, chain.inquire(`t${this.entered}`, command, this.now));
+    this.#perform(head.address, chain.execute(`t${this.entered}`, command, this.now));
   }
 
   step(): void {
@@ -101,8 +101,8 @@
     const due = this.#pendingDeliveries.filter(isDue, this).sort(byTime);
     this.#pendingDeliveries = this.#pendingDeliveries.filter(isLater, this);
     for (const { act } of due) act();
-    if (this.now % constants.beatEvery === 0)
-      for (const [address, chain] of this.chains) this.#perform(address, chain.beat(this.now));
+    if (this.now % constants.tickIntervalMs === 0)
+      for (const [address, chain] of this.chains) this.#perform(address, chain.tick(this.now));
     this.#checkLearner();
   }
 
@@ -155,7 +155,7 @@
       if (self.stalled.has(address)) return self.#schedule(address, stepMs, synced);
       folder.write("q", copy);
       if (address === joiner.address) self.learnerDurableIndex = copy.state.place;
-      self.#perform(address, self.chains.get(address)!.written(ticket, self.now));
+      self.#perform(address, self.chains.get(address)!.writeCompleted(ticket, self.now));
     }
     this.#schedule(address, this.syncMs, synced);
   }
@@ -263,7 +263,7 @@
 
 function checkSlowLearner(this: World): void {
   const { schedule } = this;
-  equal(schedule.chains.get(tail.address)!.stuck(schedule.now)?.identity, joiner.identity);
+  equal(schedule.chains.get(tail.address)!.slowReplica(schedule.now)?.identity, joiner.identity);
   equal(schedule.confirmed, 1);
 }
 Then("the tail names the joiner as stuck, and no change is confirmed", checkSlowLearner);
--- a/features/steps/order-records.ts
+++ b/features/steps/order-records.ts
@@ -3,15 +3,15 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { After, Given, Then, When, type DataTable } from "@cucumber/cucumber";
 import {
-  ControlMachine,
+  ControlStateMachine,
   keys,
   type ControlCommand,
   type ControlDesk,
   type ControlOutcome,
   type ControlResult,
-  type EmptyingRecord,
-  type StorageSight,
-  type TakenRecord,
+  type DrainRecord,
+  type ObservedStorage,
+  type AcceptedOrdersRecord,
 } from "@chutewick/control";
 import { Ledger } from "@chutewick/parts";
 import { PlatformControl } from "@chutewick/platform";
@@ -21,14 +21,14 @@
 
 interface World {
   ledger: Ledger;
-  records: ControlMachine;
+  records: ControlStateMachine;
   /** Number of accepted orders, besides those with a key in the scenario. */
   others: number;
   /** Ledger time in ms. */
   time: number;
   front: PlatformControl | undefined;
   inContact: boolean;
-  sight: StorageSight;
+  sight: ObservedStorage;
 }
 
 const address = "127.9.77.1:8146";
@@ -75,7 +75,7 @@
 Then("the order with key {string} is acknowledged again", firstIsAcknowledgedAgain);
 
 function recordIsBounded(this: World, most: number): void {
-  const count = this.ledger.read<TakenRecord>(keys.taken)!.orders.length;
+  const count = this.ledger.read<AcceptedOrdersRecord>(keys.taken)!.orders.length;
   ok(count <= most, `${count} orders`);
 }
 Then("the record of orders holds at most {int}", recordIsBounded);
@@ -131,7 +131,7 @@
 
 async function openAdapter(this: World): Promise<void> {
   this.ledger = new Ledger();
-  this.records = new ControlMachine();
+  this.records = new ControlStateMachine();
   this.time = 1;
   this.inContact = true;
   this.sight = { machines: [], othersLeast: 1, copiesLeast: 2, copiesWanted: 3 };
@@ -252,7 +252,7 @@
 }
 Given("storage machines {string} of which {int} must be left", storageMachines);
 
-function observedMachine(name: string): StorageSight["machines"][number] {
+function observedMachine(name: string): ObservedStorage["machines"][number] {
   return { identity: name, name, leaving: false };
 }
 
@@ -267,6 +267,6 @@
 Then("retirements are answered:", retirementsAnswered);
 
 function drainStartedOnce(this: World, name: string): void {
-  deepEqual(this.ledger.read<EmptyingRecord>(keys.emptying + name), { since: 21 });
+  deepEqual(this.ledger.read<DrainRecord>(keys.emptying + name), { since: 21 });
 }
 Then("emptying {string} began once", drainStartedOnce);
--- a/features/steps/passlot.ts
+++ b/features/steps/passlot.ts
@@ -39,7 +39,7 @@
 
 export function apply(world: World, command: QueueCommand): QueueResult {
   const result = world.machine.apply(world.ledger, command, world.now);
-  world.ledger.takeChanges();
+  world.ledger.drainChanges();
   return result;
 }
 
@@ -71,7 +71,7 @@
   aPassagesQueue,
 );
 
-export function handing(
+export function submission(
   lot: string,
   count: number,
   tokens: number,
@@ -101,7 +101,7 @@
 }
 
 function theLotIsSubmitted(this: World, lot: string, count: number, tokens: number): void {
-  this.told.push(apply(this, handing(lot, count, tokens, this.allowance)));
+  this.told.push(apply(this, submission(lot, count, tokens, this.allowance)));
 }
 When("the lot {string} with {int} items of {int} tokens is handed in", theLotIsSubmitted);
 
@@ -112,7 +112,7 @@
   tokens: number,
   within: number,
 ): void {
-  this.told.push(apply(this, { ...handing(lot, count, tokens, this.allowance), within }));
+  this.told.push(apply(this, { ...submission(lot, count, tokens, this.allowance), within }));
 }
 When(
   "the lot {string} with {int} items of {int} tokens, wanted within {int} ms, is handed in",
@@ -127,7 +127,7 @@
   within: number,
 ): void {
   this.told.push(
-    apply(this, { ...handing(lot, count, tokens, this.allowance), within, late: true }),
+    apply(this, { ...submission(lot, count, tokens, this.allowance), within, late: true }),
   );
 }
 When(
@@ -145,7 +145,7 @@
 ): void {
   this.told.push(
     apply(this, {
-      ...handing(lot, Number(count), Number(tokens), this.allowance),
+      ...submission(lot, Number(count), Number(tokens), this.allowance),
       ticket,
       final: again !== null,
     }),
@@ -251,7 +251,7 @@
 
 function timePasses(this: World, time: number): void {
   this.now += time;
-  if (this.machine.due(this.ledger, this.now)) apply(this, { kind: "expire" });
+  if (this.machine.isExpiryDue(this.ledger, this.now)) apply(this, { kind: "expire" });
 }
 When("{int} ms pass on the ledger", timePasses);
 
@@ -379,7 +379,7 @@
 
 function claimsUnderWay(this: World, lot: string): void {
   const claims: Claim[] = [];
-  for (const [key, { go }] of this.machine.passes.processing()) claims.push(claimOf(key, go));
+  for (const [key, { go }] of this.machine.passQueue.processing()) claims.push(claimOf(key, go));
   deepEqual(claims, [
     { lot, index: 0, go: 1 },
     { lot, index: 1, go: 1 },
@@ -419,7 +419,7 @@
   const task = claims[chance.below(Math.max(1, claims.length))];
   const kind = chance.below(14);
   if (kind < 3)
-    return handing(
+    return submission(
       lot,
       1 + (lot.length % 5),
       1 + chance.below(40),
@@ -481,7 +481,7 @@
       if (JSON.stringify(result) !== JSON.stringify(rightMachine.apply(right, command, now)))
         this.differences.push(`seed ${seed} step ${step}: ${JSON.stringify(result)}`);
       if (result.kind === "DRAWN") claims.push(...result.tasks);
-      for (const [key, value] of left.takeChanges()) {
+      for (const [key, value] of left.drainChanges()) {
         if (!key.startsWith("result/")) continue;
         const before = shown.get(key);
         if (value === undefined) shown.delete(key);
@@ -492,7 +492,7 @@
       if (step === steps >> 1) {
         const copy = right.snapshot();
         right.clear();
-        right.adopt(copy);
+        right.applyChanges(copy);
         rightMachine = new QueueMachine();
         rightMachine.rebuild(right);
       }
--- a/features/steps/pending-calls.ts
+++ b/features/steps/pending-calls.ts
@@ -27,7 +27,7 @@
 function elapse(world: World, seconds: number): void {
   const end = world.now + seconds * 1_000;
   while (world.now < end) {
-    world.now += constants.beatEvery;
+    world.now += constants.tickIntervalMs;
     note(world, world.calls.beat(world.now));
   }
 }
--- a/features/steps/planned-stop.ts
+++ b/features/steps/planned-stop.ts
@@ -65,7 +65,7 @@
     for (const machine of this.#silent) this.#strike(machine);
     deployment.after(delay);
     const waited = this.#stop();
-    if (waited < constants.handOverPatience) this.#checkLetGo(waited);
+    if (waited < constants.handOverTimeoutMs) this.#checkLetGo(waited);
     const { controlsWanted } = deployment.policy;
     const missing = Math.max(0, controlsWanted - deployment.controls.length);
     if (missing + this.#silent.length < this.#losses) this.#demandService("stopped", SERVES_WITHIN);
@@ -93,7 +93,7 @@
     const { world } = this.#deployment;
     const since = world.now;
     this.#stopped.leave();
-    while (this.#stopped.core.isNeeded && world.now < since + constants.handOverPatience)
+    while (this.#stopped.core.isNeeded && world.now < since + constants.handOverTimeoutMs)
       world.run(world.now + LOOK_EVERY);
     this.#stopped.kill(false);
     return world.now - since;
--- a/features/steps/platform.ts
+++ b/features/steps/platform.ts
@@ -5,12 +5,12 @@
 import { join } from "node:path";
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
-  ControlMachine,
+  ControlStateMachine,
   configuration,
   type Configuration,
   type ControlResult,
 } from "@chutewick/control";
-import type { PassRequest } from "@chutewick/data";
+import type { PassageRequest } from "@chutewick/data";
 import { Ledger, callerLimits } from "@chutewick/parts";
 import {
   PlatformDialect,
@@ -29,7 +29,7 @@
   /** The last translated order; undefined if it was rejected. */
   told: Translated | undefined;
   /** The parsed request. */
-  inquiry: PassRequest;
+  inquiry: PassageRequest;
   forwarded: string[];
   settings: PlatformSettings;
 }
@@ -118,7 +118,7 @@
 When(/^its limits are (.*)$/, limited);
 
 function limitsOfCallers(this: World, callers: string): void {
-  const found = callerLimits.withUsual(checked(this.told).callers);
+  const found = callerLimits.withDefaults(checked(this.told).callers);
   deepEqual(found, JSON.parse(callers));
 }
 Then(/^the product's limits of callers are (.*)$/, limitsOfCallers);
@@ -189,7 +189,7 @@
 Then("the document is returned as it was sent", isReturned);
 
 function areRecognized(this: World): void {
-  const records = new ControlMachine();
+  const records = new ControlStateMachine();
   const ledger = new Ledger();
   function sent(order: Translated, expected: number): ControlResult {
     const { mark, value, origin, key } = order;
--- a/features/steps/registry-sender.ts
+++ b/features/steps/registry-sender.ts
@@ -66,18 +66,18 @@
 }
 
 function sendsTo(this: World, sender: string, zone: string): void {
-  deepEqual(sendersTo(this, heartbeat(zone, constants.sessionEvery)), [sender]);
+  deepEqual(sendersTo(this, heartbeat(zone, constants.heartbeatIntervalMs)), [sender]);
 }
 Then("{word} alone sends the registry to a node in {word}", sendsTo);
 
 function oneSendsTo(this: World, zone: string): void {
-  deepEqual(sendersTo(this, heartbeat(zone, constants.sessionEvery)).length, 1);
+  deepEqual(sendersTo(this, heartbeat(zone, constants.heartbeatIntervalMs)).length, 1);
 }
 Then("one of them sends the registry to a node in {word}", oneSendsTo);
 
 function allSendTo(this: World, zone: string): void {
   const members = this.view.members.map(({ identity }) => identity);
-  deepEqual(sendersTo(this, heartbeat(zone, constants.sessionEvery * 2)), members);
+  deepEqual(sendersTo(this, heartbeat(zone, constants.heartbeatIntervalMs * 2)), members);
 }
 Then(
   "all of them send it to a node in {word} that has received none for two heartbeats",
--- a/features/steps/relay-requests.ts
+++ b/features/steps/relay-requests.ts
@@ -1,12 +1,12 @@
-import type { PassRequest } from "@chutewick/data";
+import type { PassageRequest } from "@chutewick/data";
 
 /** Returns a request on a passage as parsed by the HTTP interface: a POST without a body and without optional fields, except those given. */
 export function requestOf(
   id: string,
   host: string,
   path: string,
-  overrides: Partial<PassRequest> = {},
-): PassRequest {
+  overrides: Partial<PassageRequest> = {},
+): PassageRequest {
   return {
     id,
     method: "POST",
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -3,26 +3,26 @@
 import { Given, Then, When, type DataTable } from "@cucumber/cucumber";
 import { configuration, type MarkedConfiguration, type Passage } from "@chutewick/control";
 import {
-  Choice,
+  RunnerBalancer,
   RelayCore,
-  type PassEvent,
-  type PassOutput,
-  type PassWork,
+  type PassageEvent,
+  type PassageOutput,
+  type PassageWork,
   type Standing,
 } from "@chutewick/data";
 import {
   Sessions,
   policy,
-  type NodeCard,
+  type NodeDescriptor,
   type RunnerRegistry,
-  type RunnerCard,
+  type RunnerDescriptor,
 } from "@chutewick/parts";
 import { requestOf } from "./relay-requests.js";
 
 /** Stands in for what a node knows of its fleet. */
 class KnownFleet {
   configuration: MarkedConfiguration = configuration.blank;
-  cards: RunnerCard[] = [];
+  cards: RunnerDescriptor[] = [];
   closed = new Set<string>();
   may = true;
   hasLease = true;
@@ -34,7 +34,7 @@
   holds(): boolean {
     return this.may && this.hasLease;
   }
-  runners(): RunnerCard[] {
+  runners(): RunnerDescriptor[] {
     return this.cards.filter(isOpen, this.closed);
   }
   isClosed(runner: string): boolean {
@@ -42,7 +42,7 @@
   }
 }
 
-function isOpen(this: Set<string>, card: RunnerCard): boolean {
+function isOpen(this: Set<string>, card: RunnerDescriptor): boolean {
   return !this.has(card.id);
 }
 
@@ -52,16 +52,16 @@
 interface Sent {
   readonly go: number;
   readonly address: string;
-  readonly work: PassWork;
+  readonly work: PassageWork;
 }
 
 /** What steps on the relay share. */
 export interface World {
   known: KnownFleet;
-  choice: Choice;
+  choice: RunnerBalancer;
   core: RelayCore;
   now: number;
-  outputs: PassOutput[];
+  outputs: PassageOutput[];
   sent: Map<string, Sent[]>;
   refusing: Set<string>;
   arrived: string[];
@@ -77,7 +77,7 @@
   http: "here:2",
 };
 
-function card(id: string, pool: string): RunnerCard {
+function card(id: string, pool: string): RunnerDescriptor {
   return {
     id,
     incarnation: 1,
@@ -113,8 +113,8 @@
   }
   this.known = new KnownFleet();
   this.known.configuration = { mark: 1, value: { ...configuration.blank.value, passages: found } };
-  this.choice = new Choice(this.known, standing);
-  this.core = new RelayCore(this.known, this.choice, policy.usual);
+  this.choice = new RunnerBalancer(this.known, standing);
+  this.core = new RelayCore(this.known, this.choice, policy.defaults);
   this.now = 1_000;
   this.outputs = [];
   this.sent = new Map();
@@ -171,7 +171,7 @@
 }
 Given("the runner {string} refuses all", refusesAll);
 
-export function takeOutputs(world: World, outputs: readonly PassOutput[]): void {
+export function takeOutputs(world: World, outputs: readonly PassageOutput[]): void {
   for (const output of outputs) {
     world.outputs.push(output);
     if (output.kind !== "pass-run") continue;
@@ -216,7 +216,7 @@
 When("{string} arrives for {string} at {string} after event {int}", arrivesAfter);
 
 function manyArrive(this: World, count: number, host: string, path: string): void {
-  this.room = this.choice.room("model", this.now);
+  this.room = this.choice.freeItemSlots("model", this.now);
   this.arrived = [];
   for (let index = 0; index < count; index += 1) {
     const id = `many-${this.arrived.length}-${count}`;
@@ -304,7 +304,7 @@
 Then("all of them are sent to one runner", oneRunner);
 
 function roomFalls(this: World, count: number): void {
-  equal(this.choice.room("model", this.now), this.room - count);
+  equal(this.choice.freeItemSlots("model", this.now), this.room - count);
 }
 Then("the room for items on {string} falls by {int}", dropPool);
 
@@ -383,7 +383,7 @@
 Then("{int} to {int} of them are sent to the runner {string}", toRunner);
 
 function othersHave(this: World, first: number, one: string, second: number, other: string): void {
-  const node: NodeCard = {
+  const node: NodeDescriptor = {
     ...standing,
     identity: "node-2",
     place: 1,
@@ -397,7 +397,7 @@
     },
   };
   /** What this node told itself is no part of what it hears of the others. */
-  const here: NodeCard = {
+  const here: NodeDescriptor = {
     ...standing,
     place: 1,
     free: true,
@@ -410,7 +410,7 @@
     },
   };
   const sessions = new Sessions();
-  for (const card of [node, here]) sessions.heard(card, 1_000, undefined, 0, 0);
+  for (const card of [node, here]) sessions.recordHeartbeat(card, 1_000, undefined, 0, 0);
   this.known.registry = sessions.registryForNodes(1_100, here.identity);
   deepEqual(
     this.known.registry.others,
@@ -439,8 +439,8 @@
 Given("the pool {string} allows {int} connections", allows);
 
 function mayConnect(this: World, count: number, runner: string): void {
-  this.choice.room("plain", this.now);
-  equal(this.choice.share(`${runner}:80`), count);
+  this.choice.freeItemSlots("plain", this.now);
+  equal(this.choice.connectionLimit(`${runner}:80`), count);
 }
 Then("this node may have {int} connections to {string}", mayConnect);
 
@@ -490,7 +490,7 @@
 }
 Then("{string} was sent to {int} runner(s)", sentTimes);
 
-function tells(world: World, id: string, ...all: PassEvent[]): void {
+function tells(world: World, id: string, ...all: PassageEvent[]): void {
   const { go } = latestOf(world, id);
   for (const told of all) takeOutputs(world, world.core.goEvent(go, told, world.now));
 }
@@ -623,7 +623,7 @@
 }
 Then("the caller of {string} gets {string}", gets);
 
-function linkDoes(world: World, id: string, kind: PassOutput["kind"]): void {
+function linkDoes(world: World, id: string, kind: PassageOutput["kind"]): void {
   const { go } = latestOf(world, id);
   let found = false;
   for (const output of world.outputs)
--- a/features/steps/resting.ts
+++ b/features/steps/resting.ts
@@ -26,7 +26,7 @@
   const peers = new PeerHeartbeats("life", "zone");
   let carried = 0;
   for (let number = 0; number < heartbeats; number += 1)
-    if (peers.beginRegistry(nodes, number * constants.greetEvery)) carried += 1;
+    if (peers.beginRegistry(nodes, number * constants.controlHeartbeatIntervalMs)) carried += 1;
   equal(carried, carrying);
 }
 Then("in a fleet of {int} nodes {int} of {int} heartbeats carry the registry", carryRegistry);
@@ -42,7 +42,7 @@
 function aMember(this: World, place: number, view: number): void {
   this.now = 10_000;
   this.coverage = new LeaseCoverage(0);
-  equal(this.coverage.isToBeTold(place, view, this.now), true);
+  equal(this.coverage.shouldReport(place, view, this.now), true);
 }
 Given(
   "a member of the control group that has reported log index {int} in view {int} to its head",
@@ -50,9 +50,9 @@
 );
 
 function reportsAgainAfter(this: World, place: number, view: number, milliseconds: number): void {
-  equal(this.coverage.isToBeTold(place, view, this.now + milliseconds - 1), false);
+  equal(this.coverage.shouldReport(place, view, this.now + milliseconds - 1), false);
   this.now += milliseconds;
-  equal(this.coverage.isToBeTold(place, view, this.now), true);
+  equal(this.coverage.shouldReport(place, view, this.now), true);
 }
 Then(
   "it reports log index {int} in view {int} again after {int} ms, not sooner",
@@ -61,12 +61,12 @@
 
 function reportsAtOnce(this: World, place: number, view: number): void {
   this.now += 1;
-  equal(this.coverage.isToBeTold(place, view, this.now), true);
+  equal(this.coverage.shouldReport(place, view, this.now), true);
 }
 Then("it reports log index {int} in view {int} at once", reportsAtOnce);
 
 function neverReports(this: World, place: number): void {
-  equal(this.coverage.isToBeTold(place, 1, this.now + 60_000), false);
+  equal(this.coverage.shouldReport(place, 1, this.now + 60_000), false);
 }
 Then("it never reports log index {int}", neverReports);
 
--- a/features/steps/runner-links.ts
+++ b/features/steps/runner-links.ts
@@ -4,10 +4,10 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import {
   PassConnections,
-  WholeEvent,
-  ownDialect,
-  type PassRequest,
-  type PassWork,
+  ServerSentEvent,
+  nativeProtocol,
+  type PassageRequest,
+  type PassageWork,
 } from "@chutewick/data";
 import { monotonic, settled } from "@chutewick/shell";
 import { requestOf } from "./relay-requests.js";
@@ -72,7 +72,7 @@
   const world = this;
   reset(world, does);
   world.links = new PassConnections({
-    dialect: ownDialect,
+    dialect: nativeProtocol,
     mayStart: () => world.look,
     told: (go, event) => world.events.get(go)!.push(event),
     share: () => world.share,
@@ -189,8 +189,8 @@
 
 function begin(
   world: World,
-  more: Partial<PassWork> = {},
-  request: Partial<PassRequest> = {},
+  more: Partial<PassageWork> = {},
+  request: Partial<PassageRequest> = {},
 ): number {
   world.works += 1;
   const go = world.works;
@@ -295,9 +295,9 @@
 When("a work runs as a series of events", asEvents);
 
 function toldEvents(this: World, from: number, to: number): void {
-  const found: WholeEvent[] = [];
+  const found: ServerSentEvent[] = [];
   for (const each of this.events.get(1)!)
-    if (each.kind === "event") found.push(each as unknown as WholeEvent);
+    if (each.kind === "event") found.push(each as unknown as ServerSentEvent);
   equal(found.length, to - from + 1);
   for (let number = from; number <= to; number += 1) {
     const each = found[number - from]!;
--- a/features/steps/runner-scripts.ts
+++ b/features/steps/runner-scripts.ts
@@ -1,6 +1,6 @@
 /** What scripted runners do with the requests that they read (features/relay.feature, links to runners). */
 import type { Server, Socket } from "node:net";
-import type { PassConnections, PassEvent } from "@chutewick/data";
+import type { PassConnections, PassageEvent } from "@chutewick/data";
 
 /** Scripted runner, and the links to it. */
 export interface World {
@@ -12,7 +12,7 @@
   script: Script;
   address: string;
   links: PassConnections;
-  events: Map<number, PassEvent[]>;
+  events: Map<number, PassageEvent[]>;
   works: number;
   /** ms. Clock of the links; it stands still but where a step lets time pass. */
   now: number;
--- a/features/steps/scaling-facts.ts
+++ b/features/steps/scaling-facts.ts
@@ -31,7 +31,7 @@
       pool: row["pool"]!,
       age: 0,
     };
-    this.sessions.announced(card, NOW);
+    this.sessions.recordAnnouncement(card, NOW);
   }
 }
 Given("a control machine that heard of these runners", heardOfRunners);
@@ -55,7 +55,7 @@
       place: 1,
       telling: { burdens: loads },
     };
-    this.sessions.heard(card, NOW, NOW + 1_000, 0, 0);
+    this.sessions.recordHeartbeat(card, NOW, NOW + 1_000, 0, 0);
   }
 }
 Given("that heard from these access nodes of work under way", heardOfWork);
--- a/features/steps/season.ts
+++ b/features/steps/season.ts
@@ -85,7 +85,7 @@
 function apply(world: World, command: QueueCommand): QueueResult {
   world.now += 1;
   const result = world.machine.apply(world.ledger, command, world.now);
-  world.ledger.takeChanges();
+  world.ledger.drainChanges();
   return result;
 }
 
@@ -216,7 +216,7 @@
 When(/^"night" closes while 10 of its items wait$/, theSeasonCloses);
 
 function theyWeighOn(this: World, season: string, more: number): void {
-  deepEqual(Object.fromEntries(this.machine.open()), { [season]: 10 });
+  deepEqual(Object.fromEntries(this.machine.openItemsBySeason()), { [season]: 10 });
   equal(handIn(this, "lot-3", more, "day").kind, "ADMITTED");
   equal(handIn(this, "lot-4", 1, "day").kind, "FULL");
 }
--- a/features/steps/second-loss.ts
+++ b/features/steps/second-loss.ts
@@ -105,7 +105,7 @@
     const { world } = this.deployment;
     const machines = this.#chosen(numbers);
     for (const machine of machines) machine.leave();
-    const until = world.now + constants.handOverPatience;
+    const until = world.now + constants.handOverTimeoutMs;
     while (machines.some(isNeeded) && world.now < until) this.#pass(lookEvery);
     for (const machine of machines) {
       machine.kill(false);
@@ -363,7 +363,7 @@
 function waitsForCopy(this: World): void {
   const { deployment, leaver } = this;
   equal(leaver.core.isNeeded, true);
-  const until = deployment.world.now + constants.handOverPatience;
+  const until = deployment.world.now + constants.handOverTimeoutMs;
   while (leaver.core.isNeeded && deployment.world.now < until)
     deployment.world.run(deployment.world.now + 1);
   equal(leaver.core.isNeeded, false);
--- a/features/steps/silent-nodes.ts
+++ b/features/steps/silent-nodes.ts
@@ -37,9 +37,9 @@
 Given("a control machine that receives heartbeats of a node at {word}", receivesHeartbeat);
 
 function contactsWhileRemembered(this: World, address: string): void {
-  deepEqual(this.silentNodes.silent(none, [], constants.sessionLasts), [address]);
-  deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered), [address]);
-  deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRemembered + 1), []);
+  deepEqual(this.silentNodes.silent(none, [], constants.sessionTimeoutMs), [address]);
+  deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRetentionMs), [address]);
+  deepEqual(this.silentNodes.silent(none, [], constants.silentNodeRetentionMs + 1), []);
 }
 Then(
   "it contacts {word} while the node is silent, until its retention ends",
@@ -47,7 +47,7 @@
 );
 
 function contactsWhileRecorded(this: World, address: string): void {
-  const late = constants.silentNodeRemembered * 10;
+  const late = constants.silentNodeRetentionMs * 10;
   deepEqual(this.silentNodes.silent(none, [address], late), [address]);
   deepEqual(this.silentNodes.silent(new Set([address]), [address], late + 1), []);
 }
--- a/features/steps/stop-phases.ts
+++ b/features/steps/stop-phases.ts
@@ -12,7 +12,7 @@
 function givenStop(this: World, stopWithinMs: number, workEndsAt: number): void {
   const stop = new PlannedStop(stopTimes(stopWithinMs, true), 0);
   this.phases = new Map();
-  for (let now = 0; now <= stopWithinMs; now += constants.beatEvery) {
+  for (let now = 0; now <= stopWithinMs; now += constants.tickIntervalMs) {
     const phase = stop.advance(now, now < workEndsAt ? 1 : 0);
     if (!this.phases.has(phase)) this.phases.set(phase, now);
   }
--- a/features/steps/tenants-lots.ts
+++ b/features/steps/tenants-lots.ts
@@ -4,11 +4,11 @@
 import type { AccessOutput, LotCall } from "@chutewick/data";
 import type { QueueResult, Tenancy } from "@chutewick/parts";
 import { PassPlay, type Fault } from "@chutewick/simulator";
-import { apply, handing, type World } from "./passlot.js";
+import { apply, submission, type World } from "./passlot.js";
 
 function lotOfIsHandedIn(this: World, lot: string, tenant: string, size: string): void {
   const [items, tokens] = size.split(" items of ");
-  const command = handing(lot, Number(items), Number(tokens), this.allowance);
+  const command = submission(lot, Number(items), Number(tokens), this.allowance);
   this.told.push(apply(this, { ...command, tenant }));
 }
 When(/^the lot "(\w)" of "(\w+)" with (\d+ items of \d+) tokens is handed in$/, lotOfIsHandedIn);
@@ -30,7 +30,7 @@
 When("{string} ends the lot {string}", endsTheLot);
 
 function nothingUnfinished(this: World): void {
-  deepEqual([...this.machine.passes.ways()], []);
+  deepEqual([...this.machine.passQueue.activePassages()], []);
 }
 Then("no passage has anything unfinished", nothingUnfinished);
 
@@ -46,7 +46,7 @@
   for (const reader of [{ tenant }, { tenant: undefined }]) {
     deepEqual(readBoth(this, lot, reader), ["UNKNOWN_LOT", "UNKNOWN_LOT"]);
     const read = { kind: "results", lot, from: 0, reader } as const;
-    ok(this.machine.passes.isTold(this.ledger, read));
+    ok(this.machine.passQueue.canAnswerRead(this.ledger, read));
   }
 }
 Then(
--- a/features/steps/tenants-records.ts
+++ b/features/steps/tenants-records.ts
@@ -2,7 +2,7 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
 import {
-  ControlMachine,
+  ControlStateMachine,
   configurationIn,
   keys,
   published,
@@ -17,7 +17,7 @@
 
 interface World {
   ledger: Ledger;
-  machine: ControlMachine;
+  machine: ControlStateMachine;
   feed: Feed;
   node: Follower;
   passages: number;
@@ -32,12 +32,12 @@
 
 /** Confirms what the ledger changed, and tells the node, as a wire does. */
 function confirm(world: World): void {
-  world.feed.take(world.feed.place + 1, world.ledger.takeChanges());
+  world.feed.append(world.feed.place + 1, world.ledger.drainChanges());
   tell(world);
 }
 
 function tell(world: World): void {
-  const message = world.feed.since(world.node.place);
+  const message = world.feed.messageAfter(world.node.place);
   if (world.isDeaf || message === undefined) return;
   const packed = packer.pack(message);
   world.sentBytes = packed.length;
@@ -60,7 +60,7 @@
 
 function recordsAndNode(this: World, passages: number, tenants: number): void {
   this.ledger = new Ledger();
-  this.machine = new ControlMachine();
+  this.machine = new ControlStateMachine();
   this.feed = new Feed(published);
   this.node = new Follower();
   this.passages = passages;
--- a/features/steps/usage-starts.ts
+++ b/features/steps/usage-starts.ts
@@ -13,9 +13,9 @@
   const length = seconds * 1_000;
   const time = new AgreedTime();
   for (const source of ["control-1", "control-2", "control-3"])
-    time.heard({ source, wall: window * length, late: 0 }, this.now);
+    time.recordReading({ source, wall: window * length, late: 0 }, this.now);
   this.usage = new UsageCounter(time, length);
-  this.core = new RelayCore(this.known, this.choice, policy.usual, this.usage);
+  this.core = new RelayCore(this.known, this.choice, policy.defaults, this.usage);
 }
 Given("starts are counted in windows of {int} s, of which window {int} begins now", counted);
 
--- a/features/steps/usage.ts
+++ b/features/steps/usage.ts
@@ -239,8 +239,8 @@
     for (const node of world.nodes)
       if (!node.isDead && tenants > 0 && world.chance.next() < STARTS_PER_STEP)
         start(world, node, `tenant-${Math.floor(world.chance.next() ** 2 * tenants)}`);
-    if (world.now % constants.beatEvery !== 0) continue;
-    const areHeartbeatsSent = world.now % constants.sessionEvery === 0;
+    if (world.now % constants.tickIntervalMs !== 0) continue;
+    const areHeartbeatsSent = world.now % constants.heartbeatIntervalMs === 0;
     if (areHeartbeatsSent) heartbeats(world);
     beat(world, areHeartbeatsSent);
   }
--- a/packages/control/src/calendar.ts
+++ b/packages/control/src/calendar.ts
@@ -42,7 +42,7 @@
     return "calendar: must have five fields: minute, hour, day, month, day of the week";
   let starts: number[];
   try {
-    starts = startsFrom(rule, start - 1, constants.windowsChecked);
+    starts = startsFrom(rule, start - 1, constants.maxCheckedWindows);
   } catch (error) {
     return `calendar: ${(error as Error).message}`;
   }
@@ -79,7 +79,7 @@
   for (const opening of startsFrom(
     rule,
     Math.max(wall - durationMs, start - 1),
-    constants.windowsTold,
+    constants.maxListedWindows,
   )) {
     if (opening >= end) break;
     found.push({ start: opening, end: Math.min(opening + durationMs, end) });
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -139,7 +139,7 @@
 /** Validates a document: first its schema, then the references between its parts. */
 function check(input: unknown): Outcome<Configuration> {
   const parsed = configurationSchema.safeParse(input);
-  if (!parsed.success) return outcome.bad(explain(parsed.error));
+  if (!parsed.success) return outcome.failure(explain(parsed.error));
   const value = parsed.data;
   const found: string[] = [];
   for (const [key, each] of Object.entries(value.models)) {
@@ -201,7 +201,7 @@
       found.push(`seasons.${key}.runners: can select no runner, since ${impossible}`);
   }
   found.push(...sharedCredentials(value));
-  return found.length > 0 ? outcome.bad(found.join("; ")) : outcome.good(value);
+  return found.length > 0 ? outcome.failure(found.join("; ")) : outcome.success(value);
 }
 
 /** Credentials that two tenants share. The message does not contain the credential, since it is secret. */
@@ -291,7 +291,7 @@
 /** Validates the labels of a lot; undefined if they are invalid or too many. */
 function labelsOf(input: unknown): Labels | undefined {
   const parsed = labels.safeParse(input);
-  return parsed.success && Object.keys(parsed.data).length <= constants.lotLabelsMost
+  return parsed.success && Object.keys(parsed.data).length <= constants.maxLotLabels
     ? parsed.data
     : undefined;
 }
@@ -382,7 +382,7 @@
       pooled: true,
       model: queue.slice(poolQueue("").length),
       limits: all,
-      waiting: constants.poolWaiting,
+      waiting: constants.poolQueueCapacityItems,
       labels: {},
     });
   return plans;
@@ -399,7 +399,7 @@
 }
 
 /** All queues that a configuration calls for. */
-function queues(value: Configuration, chosen: Policy = policy.usual): QueuePlan[] {
+function queues(value: Configuration, chosen: Policy = policy.defaults): QueuePlan[] {
   const plans: QueuePlan[] = [];
   for (const [key, each] of Object.entries(value.models)) {
     const common = { model: key, waiting: each.waiting, labels: { ...each.labels, model: key } };
--- a/packages/control/src/control-messages.ts
+++ b/packages/control/src/control-messages.ts
@@ -1,14 +1,14 @@
 import type {
-  Back,
+  EchoedStamp,
   ChainMessage,
   ChainView,
   ChainWrite,
   FeedMessage,
-  NodeCard,
+  NodeDescriptor,
   PeerMessage,
-  RunnerCard,
+  RunnerDescriptor,
   RunnerRegistry,
-  Stamp,
+  ClockStamp,
   ViewMessage,
   VoteState,
 } from "@chutewick/parts";
@@ -64,11 +64,11 @@
 /** Heartbeat of a node, which requests a lease. */
 export interface SessionMessage {
   readonly kind: "session";
-  readonly card: NodeCard;
+  readonly card: NodeDescriptor;
   /** Time in ms at which the heartbeat was sent, by the node's monotonic clock. */
   readonly askedAt: number;
   /** Echo of the newest timestamp that the node received from this control machine. */
-  readonly back?: Back | null;
+  readonly back?: EchoedStamp | null;
   /** Time in ms since the node last received the registry from any control machine. */
   readonly rolled?: number;
 }
@@ -89,7 +89,7 @@
   readonly roll: RunnerRegistry;
   /** Addresses of the control machines. */
   readonly controls: readonly string[];
-  readonly stamp?: Stamp;
+  readonly stamp?: ClockStamp;
   /** Unix time in ms by the wall clock of the control machine; missing from earlier releases (docs/design.md §14.1). */
   readonly wall?: number;
 }
@@ -101,9 +101,9 @@
   readonly roll: RunnerRegistry;
   /** Zone of the sender; missing from earlier releases. */
   readonly zone?: string;
-  readonly stamp?: Stamp;
+  readonly stamp?: ClockStamp;
   /** Echo of the newest timestamp that the sender received from this peer. */
-  readonly back?: Back | null;
+  readonly back?: EchoedStamp | null;
   /** Whether the sender can decide duty rounds; earlier releases cannot. */
   readonly decidesDuties?: boolean;
   /** Unix time in ms by the wall clock of the sender; missing from earlier releases (docs/design.md §14.1). */
@@ -113,7 +113,7 @@
 /** Reports of runners that are broadcast at once instead of with the registry (docs/design.md §13.8). */
 export interface RunnersMessage {
   readonly kind: "runners";
-  readonly runners: readonly RunnerCard[];
+  readonly runners: readonly RunnerDescriptor[];
 }
 
 /** Addresses of the control group, sent to a silent node (docs/design.md §13.8.4). */
@@ -202,7 +202,7 @@
   | { readonly kind: "note"; readonly text: string; readonly facts: Record<string, unknown> };
 
 /** Answer to a runner's report. */
-export type Announced =
+export type ReportAnswer =
   | { readonly kind: "TAKEN" }
   | { readonly kind: "SAID_GOODBYE" }
   /** Broadcast to all reachable machines but not acknowledged, since no majority of the control group is reachable. */
--- a/packages/control/src/control-origin.ts
+++ b/packages/control/src/control-origin.ts
@@ -2,13 +2,13 @@
   Agreement,
   Chain,
   Feed,
-  type ChainHolding,
+  type PersistedChain,
   type Member,
   type Policy,
   type VoteState,
 } from "@chutewick/parts";
 import { DutyRecords } from "./duties/duty-records.js";
-import { ControlMachine } from "./machine.js";
+import { ControlStateMachine } from "./machine.js";
 import { published } from "./published.js";
 
 /** Initial state and settings of a control machine. */
@@ -22,7 +22,7 @@
   /** Persisted votes. */
   readonly votes?: VoteState;
   /** Persisted state of the chain. */
-  readonly holding?: ChainHolding;
+  readonly holding?: PersistedChain;
   readonly policy?: Policy;
   /** True only when the whole system starts for the first time. */
   readonly founding?: boolean;
@@ -43,7 +43,7 @@
 
 /** Creates the chain of control records from its state on disk. */
 export function chainFrom(origin: ControlOrigin, policy: Policy, now: number): Chain {
-  const machine = new ControlMachine();
+  const machine = new ControlStateMachine();
   return new Chain("control", origin.member, machine, now, origin.holding, policy.copiesLeast);
 }
 
@@ -55,7 +55,7 @@
   return records;
 }
 
-function isFullyCommitted({ state }: ChainHolding): boolean {
+function isFullyCommitted({ state }: PersistedChain): boolean {
   return state.place === state.confirmed;
 }
 
--- a/packages/control/src/control-status.ts
+++ b/packages/control/src/control-status.ts
@@ -4,16 +4,16 @@
   DiskCondition,
   Feed,
   Member,
-  NodeCard,
+  NodeDescriptor,
   Policy,
   RunnerRegistry,
 } from "@chutewick/parts";
 import type { MarkedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
-import type { QueueStanding } from "./machine.js";
+import type { QueueQuota } from "./machine.js";
 import type { ShareReport } from "./pace.js";
 import { queuesByMachine } from "./queue-placement.js";
-import { queuesUnder } from "./queue-reports.js";
+import { recordsByQueue } from "./queue-reports.js";
 import { zonesOf } from "./zones.js";
 
 /** The state that the status of a control machine is made from. */
@@ -27,8 +27,8 @@
   readonly feed: Feed;
   readonly registry: RunnerRegistry;
   /** Storage machines with a session. */
-  readonly storage: readonly NodeCard[];
-  readonly standings: ReadonlyMap<string, QueueStanding>;
+  readonly storage: readonly NodeDescriptor[];
+  readonly standings: ReadonlyMap<string, QueueQuota>;
   readonly reports: ReadonlyMap<string, ShareReport>;
   readonly policy: Policy;
 }
@@ -36,7 +36,7 @@
 /** The status as JSON. */
 export function controlStatus(source: StatusSource): Record<string, unknown> {
   const { feed, registry } = source;
-  const queues = queuesUnder<ChainView>(feed, keys.queue);
+  const queues = recordsByQueue<ChainView>(feed, keys.queue);
   return {
     self: source.self,
     place: feed.place,
@@ -77,7 +77,7 @@
 function drainStatus(feed: Feed, queues: ReadonlyMap<string, ChainView>): Record<string, unknown> {
   const counts = queuesByMachine(queues.values());
   const status: Record<string, unknown> = {};
-  for (const identity of queuesUnder(feed, keys.emptying).keys())
+  for (const identity of recordsByQueue(feed, keys.emptying).keys())
     status[identity] = { queuesLeft: counts.get(identity) ?? 0 };
   return status;
 }
@@ -112,6 +112,6 @@
   return Object.keys(reasons).length === 0 ? undefined : reasons;
 }
 
-function isOutside(zone: string, card: NodeCard | undefined): boolean {
+function isOutside(zone: string, card: NodeDescriptor | undefined): boolean {
   return card !== undefined && card.zone !== zone;
 }
--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -2,7 +2,7 @@
   Sessions,
   constants,
   emptyRegistry,
-  lateness,
+  maxTransitMs,
   policy,
   type AgreedTime,
   type Agreement,
@@ -13,13 +13,13 @@
   type Feed,
   type Member,
   type Policy,
-  type RunnerCard,
+  type RunnerDescriptor,
   type ViewCommand,
 } from "@chutewick/parts";
 import {
   isChainMessage,
   isViewMessage,
-  type Announced,
+  type ReportAnswer,
   type ControlMessage,
   type ControlOutcome,
   type ControlOutput,
@@ -65,7 +65,7 @@
 const notReadyToPlan = "the head of the control group has not heard of all machines yet";
 const notHead = "this control machine is not the head, or the group has too few copies";
 /** Reason returned for requests that arrive while no majority of the control group is reachable. */
-export const noQuorum = "this control machine reaches no majority of the control group";
+export const noQuorumReason = "this control machine reaches no majority of the control group";
 
 /**
  * State machine of a control machine, without I/O (docs/design.md §2, §4, §7, §8). Its inputs are messages, completed writes and
@@ -118,7 +118,7 @@
   constructor(origin: ControlOrigin, now: number) {
     this.#self = origin.member;
     this.#incarnation = origin.life;
-    this.#policy = origin.policy ?? policy.usual;
+    this.#policy = origin.policy ?? policy.defaults;
     this.#sessions = new Sessions(this.#policy);
     this.#quorumContact = new QuorumContact(origin.member.address, origin.life);
     this.#usage = new ControlUsage(origin.member, origin.life, this.#policy.usageWindow);
@@ -132,7 +132,7 @@
     this.#dutyRecords = dutyRecordsFrom(origin, this.#isMember);
     this.#leaseCoverage = new LeaseCoverage(now);
     this.#grantFloor = new GrantFloor(origin.holding?.state.place ?? 0);
-    this.#planNotBefore = now + constants.sessionLasts;
+    this.#planNotBefore = now + constants.sessionTimeoutMs;
     this.#lastTickAt = now;
   }
 
@@ -163,7 +163,7 @@
   /** Starts a planned stop; the remaining members form a view without this machine at once (docs/design.md §8.6). */
   leave(now: number): ControlOutput[] {
     this.#isStopping = true;
-    return this.#performViewCommands(this.#agreement.leave(), now);
+    return this.#performViewCommands(this.#agreement.announceShutdown(), now);
   }
 
   /**
@@ -176,7 +176,7 @@
     if (!this.#isStopping)
       outputs.push(
         ...this.#performViewCommands(
-          this.#isWritable ? this.#agreement.stay() : this.#agreement.leave(),
+          this.#isWritable ? this.#agreement.cancelShutdown() : this.#agreement.announceShutdown(),
           now,
         ),
       );
@@ -221,7 +221,7 @@
       case "session":
         return this.#heartbeat(message, now);
       case "roll":
-        this.#sessions.merge(message.roll, now, lateness(message.back, this.#incarnation, now));
+        this.#sessions.merge(message.roll, now, maxTransitMs(message.back, this.#incarnation, now));
         this.#peerHeartbeats.recordStamp(from, message.stamp, now);
         this.#zones.setZone(from, message.zone);
         this.#quorumContact.recordHeartbeat(from, message.back, now);
@@ -231,7 +231,7 @@
       case "usage":
         return this.#usage.take(message, from, now);
       case "runners":
-        for (const card of message.runners) this.#sessions.announced(card, now - card.age);
+        for (const card of message.runners) this.#sessions.recordAnnouncement(card, now - card.age);
         return [];
       case "covered":
         return this.#receiveCoverage(message.identity, message.mark, message.place, now);
@@ -251,15 +251,15 @@
   }
 
   /** Whether a majority of the control group was reached recently, so that what is acknowledged here can be replicated. */
-  inContact(now: number): boolean {
+  hasQuorum(now: number): boolean {
     return this.#quorumContact.hasQuorum(this.#agreement.view, now);
   }
 
   /** Input for performing duties at the platform; undefined if this machine is stopping or may not win a duty round. */
-  dutySituation(now: number): DutyGround | undefined {
+  dutyContext(now: number): DutyGround | undefined {
     const view = this.#chain.view;
     if (view === undefined || this.#isStopping || !this.#isMember) return undefined;
-    if (!this.inContact(now) || !this.#headDecidesDuties(view)) return undefined;
+    if (!this.hasQuorum(now) || !this.#headDecidesDuties(view)) return undefined;
     return {
       place: this.#chain.position,
       members: view.members.length,
@@ -290,8 +290,8 @@
 
   /** Forwards a request of an operator or a node to the head; rejects it at once if no majority is reachable. */
   inquire(ticket: string, command: ControlCommand, now: number): ControlOutput[] {
-    if (!this.inContact(now))
-      return [{ kind: "result", ticket, result: { kind: "not-run", reason: noQuorum } }];
+    if (!this.hasQuorum(now))
+      return [{ kind: "result", ticket, result: { kind: "not-run", reason: noQuorumReason } }];
     return this.#forward(this.#forwarding.add(ticket, command, now), now);
   }
 
@@ -338,7 +338,7 @@
     if (complete === undefined)
       return this.#sendOutcome(ticket, to, { kind: "not-run", reason: notReadyToPlan });
     const id = this.#requests.add(ticket, to, now);
-    return this.#performChainCommands(this.#chain.inquire(id, complete, now), now);
+    return this.#performChainCommands(this.#chain.execute(id, complete, now), now);
   }
 
   #sendOutcome(ticket: string, to: string | undefined, outcome: ControlOutcome): ControlOutput[] {
@@ -371,12 +371,12 @@
    * exchange (docs/design.md §13.8). `told` is the answer to the runner.
    */
   announce(
-    card: Omit<RunnerCard, "age">,
+    card: Omit<RunnerDescriptor, "age">,
     sequence: number,
     now: number,
-  ): { told: Announced; outputs: ControlOutput[] } {
+  ): { told: ReportAnswer; outputs: ControlOutput[] } {
     if (isDeregistered(card, this.#feed)) return { told: { kind: "SAID_GOODBYE" }, outputs: [] };
-    const hasQuorum = this.inContact(now);
+    const hasQuorum = this.hasQuorum(now);
     const message = recordReport({ ...card, sequence, age: 0 }, this.#sessions, hasQuorum, now);
     const outputs = message === undefined ? [] : this.#toControlsAndAccess(message, now);
     return { told: { kind: hasQuorum ? "TAKEN" : "NO_QUORUM" }, outputs };
@@ -388,12 +388,12 @@
     return addresses.map((to) => ({ kind: "send", to, message }));
   }
 
-  writtenChain(ticket: number, now: number): ControlOutput[] {
-    return this.#performChainCommands(this.#chain.written(ticket, now), now);
+  chainWritten(ticket: number, now: number): ControlOutput[] {
+    return this.#performChainCommands(this.#chain.writeCompleted(ticket, now), now);
   }
 
-  writtenVote(ticket: number, now: number): ControlOutput[] {
-    return this.#performViewCommands(this.#agreement.written(ticket), now);
+  voteWritten(ticket: number, now: number): ControlOutput[] {
+    return this.#performViewCommands(this.#agreement.writeCompleted(ticket), now);
   }
 
   #performViewCommands(commands: ViewCommand[], now: number): ControlOutput[] {
@@ -414,7 +414,7 @@
   }
 
   #adoptView(view: ChainView, now: number): ControlOutput[] {
-    const settledBefore = this.#agreement.settledBefore;
+    const settledBefore = this.#agreement.previousViewSettledAt;
     this.#leaseCoverage.viewDecided(
       knowsAllLeases(this.#chain.view, view, settledBefore, now),
       now,
@@ -443,7 +443,7 @@
           outputs.push(command);
           break;
         case "confirmed":
-          this.#feed.take(command.place, command.changes);
+          this.#feed.append(command.place, command.changes);
           this.#dutyRecords.take(command.changes);
           hasFeedUpdates = true;
           break;
@@ -500,7 +500,7 @@
       waited: Math.round(now - since),
       view: this.#chain.view?.mark,
       own: this.#ownCoverage(now),
-      holders: this.#sessions.holders(now),
+      holders: this.#sessions.activeLeaseCount(now),
       others: this.#leaseCoverage.reportedBy(this.#otherMembers),
     };
     return [{ kind: "note", text: "a change is in force", facts }];
@@ -552,7 +552,7 @@
     if (view === undefined || !this.#isMember) return [];
     if (this.#chain.isHead) return this.#answerRequestsInForce(now);
     const place = this.#ownCoverage(now);
-    if (!this.#leaseCoverage.isToBeTold(place, view.mark, now)) return [];
+    if (!this.#leaseCoverage.shouldReport(place, view.mark, now)) return [];
     return [
       {
         kind: "send",
@@ -565,7 +565,7 @@
   #sendFeedUpdates(now: number): ControlOutput[] {
     const outputs: ControlOutput[] = [];
     if (!this.#isMember) return outputs;
-    for (const card of this.#sessions.followers(now))
+    for (const card of this.#sessions.feedFollowers(now))
       outputs.push(...sendEach(card.address, feedUpdateFor(card, this.#feed)));
     return outputs;
   }
@@ -594,14 +594,14 @@
   }
 
   /** Does all time-driven work. `now` is monotonic and `wall` wall-clock time, both in ms. */
-  beat(now: number, wall: number): ControlOutput[] {
+  tick(now: number, wall: number): ControlOutput[] {
     this.#lastWallTime = wall;
     this.#usage.beat(now, wall);
     this.#postponePlanning(now);
-    const stuck = this.#chain.stuck(now)?.identity;
+    const stuck = this.#chain.slowReplica(now)?.identity;
     return [
-      ...this.#performViewCommands(this.#agreement.beat(now, this.#chain.copiedMark, stuck), now),
-      ...this.#performChainCommands(this.#chain.beat(now), now),
+      ...this.#performViewCommands(this.#agreement.tick(now, this.#chain.copiedMark, stuck), now),
+      ...this.#performChainCommands(this.#chain.tick(now), now),
       ...this.#reportCoverage(now),
       ...this.#sendAddressesToSilentNodes(now),
       ...this.#sendPeerHeartbeats(now),
@@ -615,11 +615,11 @@
   /** Postpones planning after a pause of this process or while it receives no heartbeats: other machines may only seem to be gone. */
   #postponePlanning(now: number): void {
     if (
-      now - this.#lastTickAt > constants.sleptLeast ||
-      !this.#agreement.isNear(now) ||
-      !this.#sessions.hearsAny(now)
+      now - this.#lastTickAt > constants.minSuspensionMs ||
+      !this.#agreement.hasQuorumContact(now) ||
+      !this.#sessions.hasRecentHeartbeat(now)
     )
-      this.#planNotBefore = Math.max(this.#planNotBefore, now + constants.sessionEvery * 2);
+      this.#planNotBefore = Math.max(this.#planNotBefore, now + constants.heartbeatIntervalMs * 2);
     this.#lastTickAt = now;
   }
 
@@ -637,9 +637,9 @@
   }
 
   #forgetExpired(now: number): ControlOutput[] {
-    if (now - this.#lastForgetAt <= constants.sessionLasts) return [];
+    if (now - this.#lastForgetAt <= constants.sessionTimeoutMs) return [];
     this.#lastForgetAt = now;
-    this.#sessions.forget(now);
+    this.#sessions.removeExpired(now);
     this.#usage.ledger.forget(now);
     this.#nodeHeartbeats.forget(now);
     return [];
@@ -654,7 +654,7 @@
 
   /** Sends the control addresses to silent nodes: their settings may name only machines that are gone (docs/design.md §13.8.4). */
   #sendAddressesToSilentNodes(now: number): ControlOutput[] {
-    if (now - this.#lastAddressesSentAt < constants.callSilentEvery) return [];
+    if (now - this.#lastAddressesSentAt < constants.silentNodeNoticeIntervalMs) return [];
     this.#lastAddressesSentAt = now;
     if (!this.#isMember) return [];
     const addresses = [this.#self.address, ...this.#agreement.addresses()];
@@ -665,7 +665,7 @@
 
   /** Submits the changes that the head finds necessary. */
   #plan(now: number): ControlOutput[] {
-    if (now - this.#lastPlanAt < constants.planEvery) return [];
+    if (now - this.#lastPlanAt < constants.placementIntervalMs) return [];
     this.#lastPlanAt = now;
     if (!this.#mayPlan(now)) return [];
     const commands = this.#planner.plan({
@@ -677,7 +677,7 @@
     const outputs: ControlOutput[] = [];
     for (const command of commands)
       outputs.push(
-        ...this.#performChainCommands(this.#chain.inquire(`plan/${now}`, command, now), now),
+        ...this.#performChainCommands(this.#chain.execute(`plan/${now}`, command, now), now),
       );
     return outputs;
   }
@@ -712,7 +712,7 @@
       self: this.#self,
       view: this.#chain.view,
       isHead: this.#chain.isHead,
-      hasQuorum: this.inContact(now),
+      hasQuorum: this.hasQuorum(now),
       disk: this.#disk,
       feed: this.#feed,
       registry: this.#sessions.registry(now),
--- a/packages/control/src/duties/backoff.ts
+++ b/packages/control/src/duties/backoff.ts
@@ -17,11 +17,11 @@
 
   failed(now: number): void {
     const maxPause = Math.min(
-      constants.dutyPauseMost,
-      constants.dutyPauseFirst * 2 ** this.#failures,
+      constants.maxDutyRetryMs,
+      constants.maxFirstDutyRetryMs * 2 ** this.#failures,
     );
     this.#failures += 1;
-    this.pause(constants.dutyPauseLeast + maxPause * this.#random(), now);
+    this.pause(constants.minDutyRetryMs + maxPause * this.#random(), now);
   }
 
   /** Pauses for a number of ms without counting a failure. */
--- a/packages/control/src/duties/duty-ledger.ts
+++ b/packages/control/src/duties/duty-ledger.ts
@@ -126,7 +126,7 @@
 /** Open acts that are abandoned: those that a newer one supersedes, and the oldest ones beyond the bound. */
 function abandonedBy(command: ClaimAct, open: readonly number[]): readonly number[] {
   if (isSuperseding(command.duty)) return open.filter((number) => number < command.number);
-  const excess = Math.max(0, open.length - constants.openActsMost);
+  const excess = Math.max(0, open.length - constants.maxOpenActs);
   return open.filter((number) => number !== command.number).slice(0, excess);
 }
 
@@ -139,7 +139,7 @@
 function withAll(ranges: NumberRanges, added: readonly NumberRange[]): NumberRanges {
   let all = ranges;
   for (const range of added) all = numberRanges.add(all, range);
-  return numberRanges.bounded(all, constants.finishedRangesMost);
+  return numberRanges.bounded(all, constants.maxFinishedRanges);
 }
 
 /** Marks an act as finished and removes its content. */
--- a/packages/control/src/duties/duty-performer.ts
+++ b/packages/control/src/duties/duty-performer.ts
@@ -121,7 +121,7 @@
 
   /** Refills the budget. The call rate is divided by the members, as all machines may act at once on different subjects. */
   #refill({ members, now }: DutySituation): void {
-    const share = constants.dutyCallsPart / Math.max(1, members);
+    const share = constants.platformCallRateFraction / Math.max(1, members);
     const perSecond = this.#machine.bounds.callsPerSecond * share;
     const elapsed = Math.max(0, now - this.#budget.at) / 1_000;
     const maxTokens = Math.max(1, perSecond);
--- a/packages/control/src/duties/duty-service.ts
+++ b/packages/control/src/duties/duty-service.ts
@@ -72,7 +72,7 @@
    */
   beat(now: number, context: DutyGround | undefined): void {
     this.#eligibleSince = context === undefined ? undefined : (this.#eligibleSince ?? now);
-    if (context === undefined || now - this.#eligibleSince! < constants.dutySettles) return;
+    if (context === undefined || now - this.#eligibleSince! < constants.dutyStartDelayMs) return;
     if (context.isConfigured) this.#usage.begin(now);
     const { place, members, records } = context;
     const due = this.#due(now, records);
--- a/packages/control/src/duties/planned-scaling.ts
+++ b/packages/control/src/duties/planned-scaling.ts
@@ -17,7 +17,7 @@
   }
 
   desired(now: number): readonly ScalingOrder[] {
-    if (now - this.#plannedAt < constants.scalingPlanEvery) return this.#orders;
+    if (now - this.#plannedAt < constants.scalingPlanIntervalMs) return this.#orders;
     this.#plannedAt = now;
     this.#orders = this.#planner.orders(this.#facts(now), now);
     return this.#orders;
--- a/packages/control/src/duties/subject-performer.ts
+++ b/packages/control/src/duties/subject-performer.ts
@@ -118,7 +118,7 @@
     if (now < this.#yieldsUntil || !this.#backoff.isOver(now)) return false;
     if (this.#isHolder(record)) return true;
     if (record === undefined && place === 0) return true;
-    const stagger = place * constants.takeoverStagger;
+    const stagger = place * constants.takeoverStaggerMs;
     const isLeaseOver = now >= Math.max(this.#seenAt + this.#machine.bounds.lease, this.#heldUntil);
     return isLeaseOver && now >= act.takeoverAt + stagger;
   }
@@ -157,7 +157,7 @@
 
   /** When a round expires, in monotonic ms. */
   #freshUntil({ askedAt }: Claim): number {
-    return askedAt + dutyBounds.freshFor(this.#machine.bounds);
+    return askedAt + dutyBounds.roundValidityMs(this.#machine.bounds);
   }
 
   /** Handles the outcome of a command with a ticket of this subject. */
@@ -197,8 +197,8 @@
 
   /** Timeout of the next call. It doubles after each call without an answer, as the platform may only be slow. */
   get #callTimeoutMs(): number {
-    const timeoutMs = constants.dutyCallPatience * 2 ** this.#consecutiveLostCalls;
-    return Math.min(timeoutMs, constants.dutyCallPatienceMost);
+    const timeoutMs = constants.dutyCallTimeoutMs * 2 ** this.#consecutiveLostCalls;
+    return Math.min(timeoutMs, constants.maxDutyCallTimeoutMs);
   }
 
   /** Handles the outcome of a call with a ticket of this subject. */
@@ -216,7 +216,7 @@
         return [this.#reportFinished(act.number)];
       case "outdated":
         this.#outdatedFence = fence;
-        this.#backoff.pause(constants.dutyOutdatedPause, now);
+        this.#backoff.pause(constants.outdatedFencePauseMs, now);
         return [];
       case "busy":
         this.#consecutiveLostCalls = 0;
@@ -233,8 +233,8 @@
   #handleLostCall(now: number): void {
     this.#consecutiveLostCalls += 1;
     this.#backoff.failed(now);
-    if (this.#consecutiveLostCalls % constants.dutyTriesUntilYield !== 0) return;
-    this.#yieldsUntil = now + this.#machine.bounds.lease * constants.dutyYieldLeases;
+    if (this.#consecutiveLostCalls % constants.unansweredCallsBeforeYield !== 0) return;
+    this.#yieldsUntil = now + this.#machine.bounds.lease * constants.yieldDurationLeases;
   }
 
   /** Reports accepted acts that are not committed as finished, and forgets those that are. */
--- a/packages/control/src/duties/usage-reports.ts
+++ b/packages/control/src/duties/usage-reports.ts
@@ -71,7 +71,7 @@
   #firstWindow(record: DutyRecord | undefined, last: number): number {
     const oldest = record?.finished[0]?.[0] ?? record?.open[0] ?? this.#first!;
     const first = Math.min(this.#first!, oldest);
-    return Math.max(first, last + 1 - constants.usageWindowsMost);
+    return Math.max(first, last + 1 - constants.maxDueUsageWindows);
   }
 
   #report(window: number): UsageReport {
--- a/packages/control/src/emptying.ts
+++ b/packages/control/src/emptying.ts
@@ -1,10 +1,10 @@
-import type { ChainView, Ledger, Member, NodeCard } from "@chutewick/parts";
+import type { ChainView, Ledger, Member, NodeDescriptor } from "@chutewick/parts";
 import { keys } from "./keys.js";
 
 /** Drain of storage machines before their removal ("emptying" in messages and records; docs/design.md §8.7). */
 
 /** Record of a machine that is being drained, stored under the identity of its disk. */
-export interface EmptyingRecord {
+export interface DrainRecord {
   /** Ledger time in ms at which the drain started. */
   readonly since: number;
   /** Name of the machine in the deployment. */
@@ -15,7 +15,7 @@
  * Storage machines with a live session, as observed by the head of the control group. The head adds them to a command, so that every
  * replica decides from the same observation and from its replicated records.
  */
-export interface StorageSight {
+export interface ObservedStorage {
   readonly machines: readonly ObservedMachine[];
   /** Number of other machines that must remain to take over the queues of a drained machine. */
   readonly othersLeast: number;
@@ -42,7 +42,7 @@
   readonly wanted: boolean;
   readonly name?: string;
   /** Observed machines, set by the head; missing in log entries of earlier releases, which were checked before submission. */
-  readonly sight?: StorageSight;
+  readonly sight?: ObservedStorage;
 }
 
 /** Query for the progress of a drain. */
@@ -50,11 +50,11 @@
   readonly kind: "emptying";
   readonly machine: string;
   /** Observed machines, set by the head. */
-  readonly sight?: StorageSight;
+  readonly sight?: ObservedStorage;
 }
 
 /** Progress of a drain; undefined if the machine is not being drained. */
-export type EmptyingState = "emptying" | "emptied" | undefined;
+export type DrainState = "emptying" | "emptied" | undefined;
 
 /** Why an order to drain a machine, or to cancel its drain, was refused. */
 export interface DrainRefusal {
@@ -67,9 +67,9 @@
 
 /** Observation of the storage machines with a live session, to be added to a command. */
 function observe(
-  live: readonly NodeCard[],
-  policy: Pick<StorageSight, "othersLeast" | "copiesLeast" | "copiesWanted">,
-): StorageSight {
+  live: readonly NodeDescriptor[],
+  policy: Pick<ObservedStorage, "othersLeast" | "copiesLeast" | "copiesWanted">,
+): ObservedStorage {
   const machines: ObservedMachine[] = [];
   for (const { identity, name, leaving } of live)
     machines.push({ identity, leaving, ...(name === undefined ? {} : { name }) });
@@ -81,10 +81,10 @@
 function drainingMachines(
   records: Records,
   machines: readonly Pick<ObservedMachine, "identity" | "name">[],
-): Map<string, EmptyingRecord> {
-  const result = new Map<string, EmptyingRecord>();
-  const byName = new Map<string, EmptyingRecord>();
-  for (const [key, record] of records.under<EmptyingRecord>(keys.emptying)) {
+): Map<string, DrainRecord> {
+  const result = new Map<string, DrainRecord>();
+  const byName = new Map<string, DrainRecord>();
+  for (const [key, record] of records.under<DrainRecord>(keys.emptying)) {
     result.set(key.slice(keys.emptying.length), record);
     if (record.name !== undefined) byName.set(record.name, record);
   }
@@ -96,7 +96,11 @@
 }
 
 /** Completes a command for submission: adds the observed machines, and replaces a machine's name by the identity of its disk. */
-function withTarget(records: Records, command: DrainCommand, observed: StorageSight): DrainCommand {
+function withTarget(
+  records: Records,
+  command: DrainCommand,
+  observed: ObservedStorage,
+): DrainCommand {
   for (const [identity, { name }] of drainingMachines(records, observed.machines))
     if (name === command.identity) return { ...command, identity, name, sight: observed };
   for (const { identity, name } of observed.machines)
@@ -122,7 +126,7 @@
     ledger.put(keys.emptying + identity, {
       since: time,
       ...(name === undefined ? {} : { name }),
-    } satisfies EmptyingRecord);
+    } satisfies DrainRecord);
   else ledger.remove(keys.emptying + identity);
   return undefined;
 }
@@ -137,7 +141,7 @@
 function refuseDrain(
   records: Records,
   { identity, name = identity }: DrainCommand,
-  observed: StorageSight,
+  observed: ObservedStorage,
 ): DrainRefusal | undefined {
   if (!isKnown(records, identity, observed))
     return { kind: "UNKNOWN_MACHINE", reason: `${name}: there is no such storage machine` };
@@ -152,7 +156,7 @@
   return undefined;
 }
 
-function isKnown(records: Records, identity: string, observed: StorageSight): boolean {
+function isKnown(records: Records, identity: string, observed: ObservedStorage): boolean {
   for (const machine of observed.machines) if (machine.identity === identity) return true;
   for (const [, view] of records.under<ChainView>(keys.queue))
     if (view.members.some(hasIdentity, { identity })) return true;
@@ -160,7 +164,7 @@
 }
 
 /** Identities of the machines that may take over queues. */
-function availableMachines(records: Records, { machines }: StorageSight): Set<string> {
+function availableMachines(records: Records, { machines }: ObservedStorage): Set<string> {
   const drained = drainingMachines(records, machines);
   const result = new Set<string>();
   for (const { identity, leaving } of machines)
@@ -169,7 +173,7 @@
 }
 
 /** Progress of a machine's drain; the machine is given by its name or by the identity of its disk. */
-function state(records: Records, machine: string, observed: StorageSight): EmptyingState {
+function state(records: Records, machine: string, observed: ObservedStorage): DrainState {
   const identities = new Set<string>();
   for (const [identity, { name }] of drainingMachines(records, observed.machines))
     if (identity === machine || name === machine) identities.add(identity);
--- a/packages/control/src/explain.ts
+++ b/packages/control/src/explain.ts
@@ -3,12 +3,12 @@
   constants,
   season as seasons,
   type Labels,
-  type RunnerCard,
+  type RunnerDescriptor,
   type Season,
   type Selector,
 } from "@chutewick/parts";
 import { configuration, type Configuration, type QueuePlan } from "./configuration.js";
-import { standingClasses, type QueueStanding } from "./machine.js";
+import { quotaClasses, type QueueQuota } from "./machine.js";
 import { governingIn, type ShareReport } from "./pace.js";
 
 /** An operator's query: which season governs lots of a way, a model or an adapter. */
@@ -25,9 +25,9 @@
   readonly value: Configuration;
   /** Wall-clock time in ms. */
   readonly wall: number;
-  readonly standings: ReadonlyMap<string, QueueStanding>;
+  readonly standings: ReadonlyMap<string, QueueQuota>;
   readonly reports: ReadonlyMap<string, ShareReport>;
-  readonly runners: readonly RunnerCard[];
+  readonly runners: readonly RunnerDescriptor[];
 }
 
 /** An explanation as JSON, or why there is none. */
@@ -66,10 +66,10 @@
     ...plan.labels,
   };
   const calendar = configuration.seasonsOf(known.value, known.wall);
-  const governing = seasons.deciding(calendar, labels, known.wall);
+  const governing = seasons.inForce(calendar, labels, known.wall);
   const name = governing?.name ?? "";
   const quota = known.standings.get(plan.queue);
-  const share = standingClasses(quota).find(isSeason, { season: name });
+  const share = quotaClasses(quota).find(isSeason, { season: name });
   const report = known.reports.get(plan.queue)?.classes.get(name);
   const matching: Season[] = [];
   for (const season of calendar) if (seasons.matches(season.select, labels)) matching.push(season);
@@ -104,7 +104,7 @@
   governing: Season | undefined,
   matching: readonly Season[],
   known: Known,
-  quota: QueueStanding | undefined,
+  quota: QueueQuota | undefined,
   runners: number,
 ): string {
   const parts: string[] = [];
@@ -135,7 +135,7 @@
   if (runners === 0) parts.push("no runner that is there now may take these lots, so they wait");
   else if (quota !== undefined)
     parts.push(
-      quota.pace === constants.paceSteps
+      quota.pace === constants.throttleLevels
         ? "live work leaves room for the whole pace"
         : `live work leaves ${quota.pace} eighths of the pace`,
     );
@@ -146,7 +146,7 @@
 function runnersFor(
   plan: { model: string; queue: string },
   selectors: readonly Selector[],
-  runners: readonly RunnerCard[],
+  runners: readonly RunnerDescriptor[],
 ): string[] {
   const found: string[] = [];
   for (const runner of runners) {
--- a/packages/control/src/fleet-plan.ts
+++ b/packages/control/src/fleet-plan.ts
@@ -1,4 +1,4 @@
-import { constants, type NodeCard } from "@chutewick/parts";
+import { constants, type NodeDescriptor } from "@chutewick/parts";
 import type { FleetRecord } from "./machine.js";
 
 /** The fleet record that the head knows, and the log index of its feed. */
@@ -21,7 +21,7 @@
   /** Next fleet record; undefined if nothing changes or the current record has not been accepted yet. */
   next(
     { record: current, place }: CurrentFleet,
-    nodes: readonly NodeCard[],
+    nodes: readonly NodeDescriptor[],
     isInForce: (place: number) => boolean,
     now: number,
   ): FleetRecord | undefined {
@@ -41,7 +41,7 @@
 
   #nextAddresses(
     current: FleetRecord | undefined,
-    nodes: readonly NodeCard[],
+    nodes: readonly NodeDescriptor[],
     now: number,
   ): Set<string> {
     const next = new Set<string>();
@@ -51,7 +51,7 @@
     for (const address of current?.addresses ?? []) {
       const seenAt = this.#lastSeenAt.get(address) ?? now;
       this.#lastSeenAt.set(address, seenAt);
-      if (now - seenAt < constants.fleetForgets) next.add(address);
+      if (now - seenAt < constants.fleetAddressRetentionMs) next.add(address);
     }
     return next;
   }
--- a/packages/control/src/forwarding.ts
+++ b/packages/control/src/forwarding.ts
@@ -91,7 +91,7 @@
   expire(now: number): EndedRequest[] {
     const ended: EndedRequest[] = [];
     for (const [id, forwarded] of this.#pending) {
-      if (now - forwarded.since <= constants.confirmPatience) continue;
+      if (now - forwarded.since <= constants.commitTimeoutMs) continue;
       this.#pending.delete(id);
       const outcome: ControlOutcome = wasNeverSubmitted(forwarded)
         ? unwritableOutcome
@@ -105,7 +105,7 @@
   due(head: string | undefined, now: number): string[] {
     const due: string[] = [];
     for (const [id, { command, sentAt, to }] of this.#pending) {
-      const isOverdue = now - sentAt > constants.passAgainEvery;
+      const isOverdue = now - sentAt > constants.forwardRetryIntervalMs;
       const isHeadChanged = head !== undefined && head !== to;
       if (isIdempotent(command) && (isOverdue || isHeadChanged)) due.push(id);
     }
--- a/packages/control/src/head-planner.ts
+++ b/packages/control/src/head-planner.ts
@@ -6,7 +6,7 @@
 import type { ControlCommand, Deregistration, FleetRecord } from "./machine.js";
 import { Pacer, type Surroundings } from "./pace.js";
 import { QueuePlacement } from "./queue-placement.js";
-import { queuesUnder, planningContextOf } from "./queue-reports.js";
+import { recordsByQueue, planningContextOf } from "./queue-reports.js";
 
 /** Input of one planning round of the head. */
 export interface PlanningInput {
@@ -52,7 +52,7 @@
   #placementOf({ feed, sessions, now }: PlanningInput): QueuePlacement {
     const storage = sessions.live("storage", now);
     return new QueuePlacement({
-      views: queuesUnder<ChainView>(feed, keys.queue),
+      views: recordsByQueue<ChainView>(feed, keys.queue),
       live: new Map(storage.map((card) => [card.identity, card])),
       // A drained machine whose disk was replaced is also listed under its new identity.
       draining: new Set(drain.machines(feed, storage).keys()),
@@ -94,7 +94,7 @@
 
 function nextViewCommands(placement: QueuePlacement, feed: Feed): ControlCommand[] {
   const commands: ControlCommand[] = [];
-  for (const [queue, view] of queuesUnder<ChainView>(feed, keys.queue)) {
+  for (const [queue, view] of recordsByQueue<ChainView>(feed, keys.queue)) {
     const next = placement.nextView(queue, view);
     if (next !== undefined) commands.push({ kind: "review", queue, view: next });
   }
@@ -104,6 +104,6 @@
 /** Deletes expired deregistrations once at least one has reached its retention. */
 function forgetCommands({ feed, chainTime }: PlanningInput): ControlCommand[] {
   for (const [, { at }] of feed.under<Deregistration>(keys.goodbye))
-    if (at + constants.deregistrationKept <= chainTime) return [{ kind: "forget-goodbyes" }];
+    if (at + constants.deregistrationRetentionMs <= chainTime) return [{ kind: "forget-goodbyes" }];
   return [];
 }
--- a/packages/control/src/head-requests.ts
+++ b/packages/control/src/head-requests.ts
@@ -51,7 +51,7 @@
   overdue(now: number): string[] {
     const overdue: string[] = [];
     for (const [id, { since }] of this.#pending)
-      if (now - since > constants.confirmPatience) overdue.push(id);
+      if (now - since > constants.commitTimeoutMs) overdue.push(id);
     return overdue;
   }
 }
--- a/packages/control/src/lagging-nodes.ts
+++ b/packages/control/src/lagging-nodes.ts
@@ -1,4 +1,4 @@
-import { constants, type NodeCard } from "@chutewick/parts";
+import { constants, type NodeDescriptor } from "@chutewick/parts";
 
 /** Position of a node that lags behind the feed. */
 interface Lag {
@@ -9,7 +9,7 @@
 }
 
 /** How long the lag of a silent node is retained. */
-const LAG_RETENTION_MS = constants.sessionLasts * 8;
+const LAG_RETENTION_MS = constants.sessionTimeoutMs * 8;
 
 /** Detects nodes that do not keep up with the feed; a node without progress loses its lease so that it doesn't block changes. */
 export class LaggingNodes {
@@ -17,7 +17,7 @@
   readonly #lags = new Map<string, Lag>();
 
   /** Whether a node has lagged behind the feed without progress for longer than `lagLasts`. */
-  isLagging(card: NodeCard, feedPlace: number, now: number): boolean {
+  isLagging(card: NodeDescriptor, feedPlace: number, now: number): boolean {
     if (card.place >= feedPlace) {
       this.#lags.delete(card.identity);
       return false;
@@ -27,7 +27,7 @@
       this.#lags.set(card.identity, { at: now, place: card.place });
       return false;
     }
-    return now - lag.at > constants.lagLasts;
+    return now - lag.at > constants.maxFeedLagForLeaseMs;
   }
 
   /** Discards the state of nodes that are gone. */
--- a/packages/control/src/lease-coverage.ts
+++ b/packages/control/src/lease-coverage.ts
@@ -20,7 +20,7 @@
   #lastReport: CoverageReport = { place: 0, mark: 0, at: Number.NEGATIVE_INFINITY };
 
   constructor(now: number) {
-    this.#unknownLeasesUntil = now + constants.leaseLasts;
+    this.#unknownLeasesUntil = now + constants.leaseDurationMs;
   }
 
   /**
@@ -28,7 +28,7 @@
    * @param knowsLeases whether the members of the new view know every lease that may still be valid
    */
   viewDecided(knowsLeases: boolean, now: number): void {
-    if (!knowsLeases) this.#unknownLeasesUntil = now + constants.leaseLasts;
+    if (!knowsLeases) this.#unknownLeasesUntil = now + constants.leaseDurationMs;
     this.#coverageByMember.clear();
   }
 
@@ -45,17 +45,18 @@
    * is reported at once; an unchanged index is repeated periodically, since the head may not have adopted the view at the time of
    * the first report.
    */
-  isToBeTold(place: number, mark: number, now: number): boolean {
+  shouldReport(place: number, mark: number, now: number): boolean {
     const last = this.#lastReport;
     const isKnown = mark === last.mark && place <= last.place;
-    if (place === 0 || (isKnown && now - last.at < constants.coverageRepeatedEvery)) return false;
+    if (place === 0 || (isKnown && now - last.at < constants.coverageReportIntervalMs))
+      return false;
     this.#lastReport = { place, mark, at: now };
     return true;
   }
 
   /** Log index that all holders of leases granted by this machine have reached. */
   own(sessions: Sessions, place: number, now: number): number {
-    return now < this.#unknownLeasesUntil ? 0 : sessions.covered(place, now);
+    return now < this.#unknownLeasesUntil ? 0 : sessions.coveredIndex(place, now);
   }
 
   /** Log index reported by each other member in this view, for logging. */
@@ -97,7 +98,7 @@
   if (remaining === previous.members.length) return true;
   return (
     settledBefore !== undefined &&
-    now - settledBefore > constants.leaseLasts + constants.sleptLeast &&
+    now - settledBefore > constants.leaseDurationMs + constants.minSuspensionMs &&
     remaining >= previous.members.length / 2
   );
 }
@@ -123,7 +124,7 @@
   place: number,
   sessions: Sessions,
 ): boolean {
-  const count = addresses.filter((address) => sessions.taken(address) >= place).length;
+  const count = addresses.filter((address) => sessions.reportedIndex(address) >= place).length;
   return addresses.length === 0 || count > addresses.length / 2;
 }
 
--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -3,7 +3,7 @@
   type ChainView,
   type Ledger,
   type Limits,
-  type Machine,
+  type StateMachine,
   type Selector,
 } from "@chutewick/parts";
 import { configuration, type Configuration, type MarkedConfiguration } from "./configuration.js";
@@ -13,7 +13,7 @@
   type ClaimResult,
   type FinishAct,
 } from "./duties/duty-ledger.js";
-import { drain, type DrainCommand, type DrainQuery, type EmptyingState } from "./emptying.js";
+import { drain, type DrainCommand, type DrainQuery, type DrainState } from "./emptying.js";
 import { keys } from "./keys.js";
 import { OrderLog } from "./order-log.js";
 import { configurationIn, putConfiguration } from "./tenants-record.js";
@@ -26,7 +26,7 @@
   | { kind: "forget-goodbyes" }
   | { kind: "place"; queue: string; view: ChainView }
   | { kind: "review"; queue: string; view: ChainView }
-  | { kind: "stand"; queue: string; standing: QueueStanding }
+  | { kind: "stand"; queue: string; standing: QueueQuota }
   | { kind: "fleet"; fleet: FleetRecord }
   | DrainCommand
   | DrainQuery
@@ -71,7 +71,7 @@
   | { kind: "TOO_FEW"; reason: string }
   /** The machine is already being drained. Only heads of earlier releases return it; it counts as an acknowledgement. */
   | { kind: "UNDER_WAY"; reason: string }
-  | { kind: "EMPTYING"; state: EmptyingState }
+  | { kind: "EMPTYING"; state: DrainState }
   | ClaimResult
   | { kind: "DONE" }
   | { kind: "CONFIGURATION"; mark: number; value: Configuration; origin?: string };
@@ -97,7 +97,7 @@
 }
 
 /** Quota of a queue: season, throttle level, limits and share of waiting work (docs/design.md §8.4, §8.5). */
-export interface QueueStanding {
+export interface QueueQuota {
   /** Version of this record; each change must have the next one. */
   readonly mark: number;
   /** Version of the share that the queue's owner has to apply: limits and target. */
@@ -114,11 +114,11 @@
   /** Number of items that may wait until the owner has reported that it applied the targets, summed over all classes. */
   readonly granted: number;
   /** Shares by season, in the order in which they are matched; missing in records of earlier releases. */
-  readonly classes?: readonly StandingClass[];
+  readonly classes?: readonly QuotaClass[];
 }
 
 /** Share of a queue's waiting work that belongs to one season. */
-export interface StandingClass {
+export interface QuotaClass {
   /** Name of the season; "" for lots (batch jobs) that no season selects. */
   readonly season: string;
   readonly select: readonly Selector[];
@@ -128,7 +128,7 @@
 }
 
 /** Classes of a queue's quota; a record of an earlier release counts as a single class. */
-export function standingClasses(standing: QueueStanding | undefined): readonly StandingClass[] {
+export function quotaClasses(standing: QueueQuota | undefined): readonly QuotaClass[] {
   if (standing === undefined) return [];
   return (
     standing.classes ?? [
@@ -174,7 +174,7 @@
 }
 
 /** Replicated state machine that applies committed control commands to the ledger. */
-export class ControlMachine implements Machine {
+export class ControlStateMachine implements StateMachine {
   rebuild(): void {
     // There is no derived state: every command reads its records by key.
   }
@@ -220,7 +220,7 @@
       }
       case "forget-goodbyes": {
         for (const [key, deregistration] of [...ledger.under<Deregistration>(keys.goodbye)])
-          if (deregistration.at + constants.deregistrationKept < time) ledger.remove(key);
+          if (deregistration.at + constants.deregistrationRetentionMs < time) ledger.remove(key);
         return { kind: "DONE" };
       }
       case "place":
@@ -233,7 +233,7 @@
       }
       case "stand": {
         const key = keys.standing + command.queue;
-        const mark = ledger.read<QueueStanding>(key)?.mark ?? 0;
+        const mark = ledger.read<QueueQuota>(key)?.mark ?? 0;
         if (command.standing.mark !== mark + 1) return { kind: "CONFLICT", mark };
         ledger.put(key, command.standing);
         return { kind: "DONE" };
--- a/packages/control/src/node-heartbeats.ts
+++ b/packages/control/src/node-heartbeats.ts
@@ -1,13 +1,13 @@
 import {
   constants,
-  duty,
+  rendezvous,
   emptyRegistry,
-  lateness,
+  maxTransitMs,
   type ChainView,
   type Feed,
   type FeedMessage,
   type Member,
-  type NodeCard,
+  type NodeDescriptor,
   type Sessions,
 } from "@chutewick/parts";
 import type { LeaseMessage, SessionMessage } from "./control-messages.js";
@@ -71,7 +71,14 @@
   updates: readonly FeedMessage[],
 ): HeartbeatAnswer {
   const { sessions, life, view, now } = context;
-  const isNewest = sessions.heard(card, now, undefined, 0, lateness(back, life, now), askedAt);
+  const isNewest = sessions.recordHeartbeat(
+    card,
+    now,
+    undefined,
+    0,
+    maxTransitMs(back, life, now),
+    askedAt,
+  );
   if (view === undefined || !isNewest) return unanswered;
   const neverAsked = Number.NEGATIVE_INFINITY;
   const terms = { view, askedAt: neverAsked, answers: askedAt, place: 0, roll: emptyRegistry };
@@ -84,9 +91,9 @@
   view: ChainView,
 ): HeartbeatAnswer {
   const { sessions, feed, life, now } = context;
-  const leaseUntil = now + constants.leaseLasts;
+  const leaseUntil = now + constants.leaseDurationMs;
   // Grant no lease without a session: changes would not wait for the node.
-  if (!sessions.heard(card, now, leaseUntil, 0, lateness(back, life, now), askedAt))
+  if (!sessions.recordHeartbeat(card, now, leaseUntil, 0, maxTransitMs(back, life, now), askedAt))
     return unanswered;
   const roll = sendsRegistry(card, rolled, view, context)
     ? sessions.registryForNodes(now, card.identity)
@@ -104,8 +111,8 @@
 }
 
 /** Feed updates that a node has not received yet. */
-export function feedUpdateFor(card: NodeCard, feed: Feed): FeedMessage[] {
-  const message = feed.since(card.place);
+export function feedUpdateFor(card: NodeDescriptor, feed: Feed): FeedMessage[] {
+  const message = feed.messageAfter(card.place);
   return message === undefined ? [] : [message];
 }
 
@@ -114,22 +121,22 @@
  * received it recently (docs/design.md §4.3, §13.8.7).
  */
 function sendsRegistry(
-  card: NodeCard,
+  card: NodeDescriptor,
   rolled: number | undefined,
   { members }: ChainView,
   { self, zones }: HeartbeatContext,
 ): boolean {
-  if (rolled === undefined || rolled >= constants.sessionEvery * 2) return true;
+  if (rolled === undefined || rolled >= constants.heartbeatIntervalMs * 2) return true;
   return registrySender(card, members, zones).identity === self;
 }
 
 /** Member that sends the registry to a node: one in the node's zone if possible, since the registry dominates control traffic. */
 function registrySender(
-  { identity, zone }: NodeCard,
+  { identity, zone }: NodeDescriptor,
   members: readonly Member[],
   zones: ControlZones,
 ): Member {
   const inZone = members.filter(({ address }) => zones.at(address) === zone);
   const senders = inZone.length > 0 ? inZone : members;
-  return senders[duty.spread(identity) % senders.length]!;
+  return senders[rendezvous.hash(identity) % senders.length]!;
 }
--- a/packages/control/src/order-log.ts
+++ b/packages/control/src/order-log.ts
@@ -9,7 +9,7 @@
 export type AcceptedOrder = readonly [version: number, digest: string, at?: number];
 
 /** Recently accepted orders, oldest first. */
-export interface TakenRecord {
+export interface AcceptedOrdersRecord {
   readonly orders: readonly AcceptedOrder[];
 }
 
@@ -33,7 +33,7 @@
   constructor(ledger: Ledger, origin: string | undefined) {
     this.#ledger = ledger;
     this.#orders = mergeOrders(
-      ledger.read<TakenRecord>(keys.taken)?.orders ?? [],
+      ledger.read<AcceptedOrdersRecord>(keys.taken)?.orders ?? [],
       earlierOrders(origin),
     );
   }
@@ -53,15 +53,17 @@
     for (const [index, order] of this.#orders.entries())
       if (isRetained(order, count - index, time)) retained.push(order);
     retained.push([version, digestOf(key), time]);
-    this.#ledger.put(keys.taken, { orders: retained } satisfies TakenRecord);
+    this.#ledger.put(keys.taken, { orders: retained } satisfies AcceptedOrdersRecord);
   }
 }
 
 /** Whether an order stays in the log; `rank` is 1 for the newest. */
 function isRetained([, , at]: AcceptedOrder, rank: number, time: number): boolean {
-  if (rank <= constants.ordersKept) return true;
+  if (rank <= constants.minRememberedOrders) return true;
   return (
-    rank <= constants.ordersKeptMost && at !== undefined && time - at <= constants.orderRemembered
+    rank <= constants.maxRememberedOrders &&
+    at !== undefined &&
+    time - at <= constants.orderRetentionMs
   );
 }
 
--- a/packages/control/src/pace.ts
+++ b/packages/control/src/pace.ts
@@ -6,14 +6,14 @@
   season as seasons,
   type Labels,
   type Limits,
-  type NodeCard,
+  type NodeDescriptor,
   type Policy,
-  type RunnerCard,
+  type RunnerDescriptor,
   type Season,
   type Selector,
 } from "@chutewick/parts";
 import { configuration, type Configuration, type QueuePlan } from "./configuration.js";
-import { standingClasses, type QueueStanding, type StandingClass } from "./machine.js";
+import { quotaClasses, type QueueQuota, type QuotaClass } from "./machine.js";
 
 /** The last report of a queue's owner on the shares that it has put into force. */
 export interface ShareReport {
@@ -31,11 +31,11 @@
   readonly wall: number;
   /** Monotonic time in ms. */
   readonly now: number;
-  readonly standings: ReadonlyMap<string, QueueStanding>;
+  readonly standings: ReadonlyMap<string, QueueQuota>;
   /** By queue; missing for a queue whose owner has not reported yet. */
   readonly reports: ReadonlyMap<string, ShareReport>;
-  readonly runners: readonly RunnerCard[];
-  readonly access: readonly NodeCard[];
+  readonly runners: readonly RunnerDescriptor[];
+  readonly access: readonly NodeDescriptor[];
 }
 
 /** The throttle of one model or adapter. */
@@ -59,7 +59,7 @@
   readonly season: string | null;
   readonly base: Limits;
   readonly pace: number;
-  readonly classes: StandingClass[];
+  readonly classes: QuotaClass[];
 }
 
 /** Selectors that match every lot and every runner. */
@@ -70,12 +70,12 @@
   #throttles = new Map<string, ThrottleState>();
   #policy: Policy;
 
-  constructor(chosen: Policy = policy.usual) {
+  constructor(chosen: Policy = policy.defaults) {
     this.#policy = chosen;
   }
 
   /** The queue quotas that have to change now. */
-  plan(context: Surroundings): [queue: string, quota: QueueStanding][] {
+  plan(context: Surroundings): [queue: string, quota: QueueQuota][] {
     const drafts = new Map<string, QuotaDraft>();
     // Grouped by season, or by queue for lots that no season selects.
     const groups = new Map<string, { allowance: number; demands: ShareDemand[] }>();
@@ -107,7 +107,7 @@
           runners: unrestricted,
           wanted: 0,
         });
-      const decidingSeason = seasons.deciding(calendar, plan.labels, context.wall);
+      const decidingSeason = seasons.inForce(calendar, plan.labels, context.wall);
       const runnerSeasons =
         governing.whole && governing.seasons.every(restrictsRunners) ? governing.seasons : [];
       drafts.set(queue, {
@@ -128,7 +128,7 @@
           classes: [],
         });
       }
-      for (const { season, select, runners, granted } of standingClasses(quota)) {
+      for (const { season, select, runners, granted } of quotaClasses(quota)) {
         const key = season === "" ? `queue ${queue}` : `season ${season}`;
         if (groups.get(key)?.demands.some(isForQueue, { queue }) === true) continue;
         // Keeps a class that a draining lot may still belong to, so that its runners stay known.
@@ -138,7 +138,7 @@
     }
     for (const { allowance, demands } of groups.values())
       grantShares(divideAllowance(demands, allowance, context), allowance, context, drafts);
-    const changes: [string, QueueStanding][] = [];
+    const changes: [string, QueueQuota][] = [];
     for (const [queue, draft] of drafts) {
       const next = nextQuota(context.standings.get(queue), draft);
       if (next !== undefined) changes.push([queue, next]);
@@ -158,7 +158,7 @@
     context: Surroundings,
   ): number {
     return configuration.isPoolQueue(queue)
-      ? constants.paceSteps
+      ? constants.throttleLevels
       : this.#throttleLevel(model, adapter, runnerSeasons, context);
   }
 
@@ -190,9 +190,9 @@
       )
         continue;
       if (runnerSeasons.length > 0 && !runnerSeasons.some(allowsRunner, runner)) continue;
-      const slots = runner.seats * constants.lotPart;
+      const slots = runner.seats * constants.lotSlotFraction;
       totalSlots += slots;
-      if (runner.age <= constants.loadLasts)
+      if (runner.age <= constants.loadReportRetentionMs)
         freeSlots += Math.max(
           0,
           slots - Math.max(0, runner.burden - (lotLoads.get(runner.id) ?? 0)),
@@ -201,10 +201,10 @@
     const freeShare =
       totalSlots === 0 || rejected > 0
         ? 0
-        : Math.min(1, freeSlots / totalSlots + constants.paceSlack);
-    const level = Math.floor(freeShare * constants.paceSteps);
+        : Math.min(1, freeSlots / totalSlots + constants.throttleSlackFraction);
+    const level = Math.floor(freeShare * constants.throttleLevels);
     const state = this.#throttles.get(name) ?? {
-      level: totalSlots === 0 ? constants.paceSteps : level,
+      level: totalSlots === 0 ? constants.throttleLevels : level,
       freeCapacitySince: undefined,
     };
     this.#throttles.set(name, state);
@@ -214,9 +214,9 @@
       state.freeCapacitySince = undefined;
     } else {
       state.freeCapacitySince ??= context.now;
-      if (context.now - state.freeCapacitySince >= constants.paceHolds) {
+      if (context.now - state.freeCapacitySince >= constants.throttleHoldMs) {
         state.level += 1;
-        state.freeCapacitySince = context.now - constants.paceHolds / 2;
+        state.freeCapacitySince = context.now - constants.throttleHoldMs / 2;
       }
     }
     return state.level;
@@ -260,7 +260,7 @@
   return season.runners.length > 0;
 }
 
-function allowsRunner(this: RunnerCard, season: Season): boolean {
+function allowsRunner(this: RunnerDescriptor, season: Season): boolean {
   return seasons.matches(season.runners, this.labels);
 }
 
@@ -269,11 +269,11 @@
 }
 
 function throttled(base: Limits, pace: number): Limits {
-  return { ...base, tokens: (base.tokens * pace) / constants.paceSteps };
+  return { ...base, tokens: (base.tokens * pace) / constants.throttleLevels };
 }
 
-function classOf(context: Surroundings, queue: string, season: string): StandingClass | undefined {
-  for (const quotaClass of standingClasses(context.standings.get(queue)))
+function classOf(context: Surroundings, queue: string, season: string): QuotaClass | undefined {
+  for (const quotaClass of quotaClasses(context.standings.get(queue)))
     if (quotaClass.season === season) return quotaClass;
   return undefined;
 }
@@ -293,7 +293,7 @@
     needs.push(context.reports.get(queue)?.classes.get(season)?.need ?? 0);
     targets += classOf(context, queue, season)?.target ?? 0;
   }
-  const portions = seasons.cut(allowance, needs);
+  const portions = seasons.divideAllowance(allowance, needs);
   const found: ShareDemand[] = [];
   for (const [index, demand] of demands.entries()) {
     const current = classOf(context, demand.queue, demand.season);
@@ -350,9 +350,9 @@
 
 /** The next quota of a queue, or undefined if it does not change. */
 function nextQuota(
-  quota: QueueStanding | undefined,
+  quota: QueueQuota | undefined,
   { season, base, pace, classes }: QuotaDraft,
-): QueueStanding | undefined {
+): QueueQuota | undefined {
   const limits = throttled(base, pace);
   let target = 0;
   let granted = 0;
@@ -364,12 +364,12 @@
     return { mark: 1, shareMark: 1, season, base, limits, pace, target, granted, classes };
   const shares = serializeClasses(classes, false);
   const sameShare =
-    sameLimits(quota.limits, limits) && shares === serializeClasses(standingClasses(quota), false);
+    sameLimits(quota.limits, limits) && shares === serializeClasses(quotaClasses(quota), false);
   if (
     sameShare &&
     quota.pace === pace &&
     quota.season === season &&
-    serializeClasses(classes, true) === serializeClasses(standingClasses(quota), true)
+    serializeClasses(classes, true) === serializeClasses(quotaClasses(quota), true)
   )
     return undefined;
   return {
@@ -386,7 +386,7 @@
 }
 
 /** Classes as a string, to compare two sets of them. */
-function serializeClasses(classes: readonly StandingClass[], withGranted: boolean): string {
+function serializeClasses(classes: readonly QuotaClass[], withGranted: boolean): string {
   const rows: unknown[] = [];
   for (const { season, select, runners, target, granted } of classes)
     rows.push([season, select, runners, target, withGranted ? granted : 0]);
--- a/packages/control/src/peer-heartbeats.ts
+++ b/packages/control/src/peer-heartbeats.ts
@@ -1,9 +1,9 @@
-import { constants, giveBack, type RunnerRegistry, type Stamp } from "@chutewick/parts";
+import { constants, echoStamp, type RunnerRegistry, type ClockStamp } from "@chutewick/parts";
 import type { RegistryMessage } from "./control-messages.js";
 
 /** Timestamp received from another control machine. */
 interface ReceivedStamp {
-  readonly stamp: Stamp;
+  readonly stamp: ClockStamp;
   /** Monotonic time in ms at which it was received. */
   readonly at: number;
 }
@@ -25,13 +25,13 @@
   }
 
   /** Records a peer's timestamp so that the next heartbeat echoes it; it is undefined from releases that send none. */
-  recordStamp(from: string, stamp: Stamp | undefined, now: number): void {
+  recordStamp(from: string, stamp: ClockStamp | undefined, now: number): void {
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
   }
 
   /** Whether heartbeats are due; if so, records them as sent now. */
   begin(now: number): boolean {
-    if (now - this.#sentAt < constants.greetEvery) return false;
+    if (now - this.#sentAt < constants.controlHeartbeatIntervalMs) return false;
     this.#sentAt = now;
     return true;
   }
@@ -41,8 +41,8 @@
    * it grow with the fleet, so large fleets send it less often. Changes of a runner's state are broadcast separately at once.
    */
   beginRegistry(nodes: number, now: number): boolean {
-    const stretched = (constants.greetEvery * nodes) / constants.sessionNodes;
-    const interval = Math.min(stretched, constants.peerRegistryEveryMost);
+    const stretched = (constants.controlHeartbeatIntervalMs * nodes) / constants.heartbeatFleetSize;
+    const interval = Math.min(stretched, constants.maxPeerRegistryIntervalMs);
     if (now - this.#registrySentAt < interval) return false;
     this.#registrySentAt = now;
     return true;
@@ -50,7 +50,7 @@
 
   /** Creates the heartbeat to a peer; `wall` is the wall-clock time of this machine in ms. */
   to(address: string, roll: RunnerRegistry, wall: number, now: number): RegistryMessage {
-    const back = giveBack(this.#stamps.get(address), now);
+    const back = echoStamp(this.#stamps.get(address), now);
     const zone = this.#zone === undefined ? {} : { zone: this.#zone };
     const stamp = { life: this.#incarnation, at: now };
     return { kind: "roll", roll, ...zone, stamp, back, decidesDuties: true, wall };
--- a/packages/control/src/queue-placement.ts
+++ b/packages/control/src/queue-placement.ts
@@ -1,10 +1,10 @@
 import {
-  duty,
+  rendezvous,
   holdersOf,
-  presentOf,
+  reachableReplicas,
   type ChainView,
   type Member,
-  type NodeCard,
+  type NodeDescriptor,
   type Policy,
 } from "@chutewick/parts";
 import { membersSharingZone, spreadOverZones, zonesOf } from "./zones.js";
@@ -17,7 +17,7 @@
   /** Current views, by queue. */
   readonly views: ReadonlyMap<string, ChainView>;
   /** Storage machines with a live session, by identity. */
-  readonly live: ReadonlyMap<string, NodeCard>;
+  readonly live: ReadonlyMap<string, NodeDescriptor>;
   /** Identities of the machines that are being drained. */
   readonly draining: ReadonlySet<string>;
   readonly policy: Policy;
@@ -30,7 +30,7 @@
  */
 export class QueuePlacement {
   readonly #views: ReadonlyMap<string, ChainView>;
-  readonly #live: ReadonlyMap<string, NodeCard>;
+  readonly #live: ReadonlyMap<string, NodeDescriptor>;
   readonly #draining: ReadonlySet<string>;
   readonly #policy: Policy;
   /** Number of queues that a machine stores or is copying, by identity. */
@@ -49,7 +49,7 @@
   firstView(queue: string): ChainView | undefined {
     const eligible = this.#eligibleMachines();
     if (eligible.length < this.#policy.copiesLeast) return undefined;
-    const spread = spreadOverZones(duty.rank(queue, eligible), this.#live);
+    const spread = spreadOverZones(rendezvous.rank(queue, eligible), this.#live);
     const members: Member[] = [];
     for (const identity of spread.slice(0, this.#policy.copiesWanted))
       members.push(this.#memberOf(identity));
@@ -59,7 +59,7 @@
   /** Next view of a queue; undefined if the current one stays. */
   nextView(queue: string, view: ChainView): ChainView | undefined {
     // If the members are too few to commit, the replicas that last committed resume as soon as they are back (docs/design.md §1.5).
-    const present = presentOf(view, this.#live);
+    const present = reachableReplicas(view, this.#live);
     const remaining = present.filter(({ identity }) => !this.#live.get(identity)!.leaving);
     // A machine that is stopping leaves at once if enough members remain.
     if (remaining.length < present.length && remaining.length >= this.#policy.copiesLeast)
@@ -137,7 +137,7 @@
       (identity) => !includes(view.members, identity),
     );
     if (eligible.length === 0) return this.#withoutDrained(view);
-    const identity = this.#bestTarget(duty.rank(queue, eligible), view);
+    const identity = this.#bestTarget(rendezvous.rank(queue, eligible), view);
     const drainedCount = this.#drainedMember(view) === undefined ? 0 : 1;
     if (view.members.length - drainedCount >= this.#policy.copiesWanted) {
       if (!this.#shouldMoveTo(identity, view)) return undefined;
--- a/packages/control/src/queue-reports.ts
+++ b/packages/control/src/queue-reports.ts
@@ -1,7 +1,7 @@
-import type { ChainView, Feed, NodeCard, Sessions } from "@chutewick/parts";
+import type { ChainView, Feed, NodeDescriptor, Sessions } from "@chutewick/parts";
 import { configuration, type MarkedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
-import type { QueueStanding } from "./machine.js";
+import type { QueueQuota } from "./machine.js";
 import type { ShareReport, Surroundings } from "./pace.js";
 
 /** Sources of the planning context. */
@@ -22,7 +22,7 @@
   wall,
 }: PlanningContextSource): Surroundings {
   const current = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
-  const standings = queuesUnder<QueueStanding>(feed, keys.standing);
+  const standings = recordsByQueue<QueueQuota>(feed, keys.standing);
   return {
     value: current.value,
     now,
@@ -35,7 +35,7 @@
 }
 
 /** Records whose keys have a prefix followed by the name of a queue, by queue. */
-export function queuesUnder<Value>(feed: Feed, prefix: string): Map<string, Value> {
+export function recordsByQueue<Value>(feed: Feed, prefix: string): Map<string, Value> {
   const records = new Map<string, Value>();
   for (const [key, value] of feed.under<Value>(prefix))
     records.set(key.slice(prefix.length), value);
@@ -45,8 +45,8 @@
 /** Newest report of each queue's owner on its share of waiting work (docs/design.md §8.4); reports of other members are ignored. */
 function ownerReports(
   feed: Feed,
-  storage: readonly NodeCard[],
-  standings: ReadonlyMap<string, QueueStanding>,
+  storage: readonly NodeDescriptor[],
+  standings: ReadonlyMap<string, QueueQuota>,
 ): Map<string, ShareReport> {
   const reports = new Map<string, ShareReport>();
   for (const { identity, telling } of storage) {
--- a/packages/control/src/quorum-contact.ts
+++ b/packages/control/src/quorum-contact.ts
@@ -1,4 +1,4 @@
-import { constants, majority, votersOf, type Back, type ChainView } from "@chutewick/parts";
+import { constants, majority, votersOf, type EchoedStamp, type ChainView } from "@chutewick/parts";
 
 /**
  * Tracks whether a control machine can reach a majority of the group, by heartbeat round trips on its own monotonic clock. A peer
@@ -17,13 +17,13 @@
   }
 
   /** Records a heartbeat of a peer; `back` echoes our newest heartbeat and is undefined from releases that echo none. */
-  recordHeartbeat(address: string, back: Back | null | undefined, now: number): void {
+  recordHeartbeat(address: string, back: EchoedStamp | null | undefined, now: number): void {
     const sentAt = this.#sentAtOf(back, now);
     if (sentAt === undefined) return;
     this.#sentAt.set(address, Math.max(sentAt, this.#sentAt.get(address) ?? sentAt));
   }
 
-  #sentAtOf(back: Back | null | undefined, now: number): number | undefined {
+  #sentAtOf(back: EchoedStamp | null | undefined, now: number): number | undefined {
     if (back === undefined) return now;
     if (back === null || back.life !== this.#incarnation) return undefined;
     return back.at;
@@ -39,6 +39,9 @@
 
   #isReached(address: string, now: number): boolean {
     if (address === this.#address) return true;
-    return now - (this.#sentAt.get(address) ?? Number.NEGATIVE_INFINITY) <= constants.contactLasts;
+    return (
+      now - (this.#sentAt.get(address) ?? Number.NEGATIVE_INFINITY) <=
+      constants.controlContactTimeoutMs
+    );
   }
 }
--- a/packages/control/src/runner-announcements.ts
+++ b/packages/control/src/runner-announcements.ts
@@ -1,11 +1,11 @@
-import type { Feed, RunnerCard, Sessions } from "@chutewick/parts";
+import type { Feed, RunnerDescriptor, Sessions } from "@chutewick/parts";
 import type { RunnersMessage } from "./control-messages.js";
 import { keys } from "./keys.js";
 import type { Deregistration } from "./machine.js";
 
 /** Whether this incarnation of a runner or a later one was deregistered. */
 export function isDeregistered(
-  { id, incarnation }: Pick<RunnerCard, "id" | "incarnation">,
+  { id, incarnation }: Pick<RunnerDescriptor, "id" | "incarnation">,
   feed: Feed,
 ): boolean {
   const deregistration = feed.read<Deregistration>(keys.goodbyeKey(id));
@@ -18,12 +18,12 @@
  * of a machine that doesn't receive it otherwise. All other reports are distributed with the registry.
  */
 export function recordReport(
-  report: RunnerCard,
+  report: RunnerDescriptor,
   sessions: Sessions,
   hasQuorum: boolean,
   now: number,
 ): RunnersMessage | undefined {
-  const { newer, news } = sessions.announced(report, now);
+  const { newer, mustForward: news } = sessions.recordAnnouncement(report, now);
   const isUrgent = news || (newer && !hasQuorum);
   return isUrgent ? { kind: "runners", runners: [report] } : undefined;
 }
--- a/packages/control/src/scaling/demand.ts
+++ b/packages/control/src/scaling/demand.ts
@@ -19,29 +19,29 @@
     // The first observation is used unsmoothed.
     const elapsed = now - (this.#observedAt ?? Number.NEGATIVE_INFINITY);
     this.#observedAt = now;
-    const timeConstant = live > this.#live ? constants.scalingLiveUp : constants.scalingLiveDown;
+    const timeConstant = live > this.#live ? constants.liveLoadRiseMs : constants.liveLoadFallMs;
     this.#live = smoothed(this.#live, live, elapsed, timeConstant);
-    this.#usualLive = smoothed(this.#usualLive, live, elapsed, constants.scalingUsual);
-    this.#usualItems = smoothed(this.#usualItems, items, elapsed, constants.scalingUsual);
+    this.#usualLive = smoothed(this.#usualLive, live, elapsed, constants.usualLoadSmoothingMs);
+    this.#usualItems = smoothed(this.#usualItems, items, elapsed, constants.usualLoadSmoothingMs);
     this.#observeSlots(load, now);
   }
 
   /** Reserves capacity for a burst of interactive requests, since new runners would start too late; lots can wait a little. */
   runners(seats: number, now: number): number {
     const live = Math.max(
-      this.#live * constants.scalingGrowth,
-      this.#usualLive * constants.scalingBurst,
+      this.#live * constants.growthFactor,
+      this.#usualLive * constants.burstFactor,
     );
-    const needed = Math.ceil((live + this.#usualItems) / (seats * constants.scalingFill));
+    const needed = Math.ceil((live + this.#usualItems) / (seats * constants.targetSlotUtilization));
     const full = this.#full;
-    if (full === undefined || now - full.since < constants.scalingFullAfter) return needed;
-    return Math.max(needed, Math.ceil(full.runners * constants.scalingFullGrowth));
+    if (full === undefined || now - full.since < constants.saturationDelayMs) return needed;
+    return Math.max(needed, Math.ceil(full.runners * constants.saturationGrowthFactor));
   }
 
   #observeSlots({ live, items, seats, zones }: PoolLoad, now: number): void {
     let runners = 0;
     for (const zone of zones) runners += zone.runners;
-    const isFull = runners > 0 && live + items >= runners * seats * constants.scalingFull;
+    const isFull = runners > 0 && live + items >= runners * seats * constants.saturationFraction;
     this.#full = isFull ? { since: this.#full?.since ?? now, runners } : undefined;
   }
 }
--- a/packages/control/src/scaling/pool-scaler.ts
+++ b/packages/control/src/scaling/pool-scaler.ts
@@ -54,10 +54,10 @@
     const lost = this.#lost(bounds.boot, now);
     const needed = this.#demand.runners(load.seats, now) + lost;
     this.#recordNeed(needed, bounds, now);
-    if (now - this.#startedAt < constants.scalingSettles) return [];
+    if (now - this.#startedAt < constants.scalingStartDelayMs) return [];
     const desired = this.#withinBounds(bounds);
     const total = sumOf(desired);
-    if (needed > total * (1 + constants.scalingMissing))
+    if (needed > total * (1 + constants.scaleUpHysteresisFraction))
       this.#raise(desired, needed - total, bounds, now);
     else if (isWorkKnown && this.#isLowLong(total, bounds, now)) this.#lower(desired, bounds);
     return this.#changed(desired);
@@ -143,13 +143,13 @@
 
   /** Whether fewer runners have been enough for a long time, and the last change is not recent. */
   #isLowLong(total: number, bounds: ScalingBounds, now: number): boolean {
-    const slack = Math.max(1, Math.ceil(total * constants.scalingSpare));
+    const slack = Math.max(1, Math.ceil(total * constants.scaleDownHysteresisFraction));
     const highest = this.#needs[0]?.needed ?? total;
     return (
       highest <= total - slack &&
       now - this.#startedAt >= lowerAfterMs(bounds) &&
       now - this.#unknownAt >= lowerAfterMs(bounds) &&
-      now - this.#changedAt >= Math.max(bounds.boot, constants.scalingLowerEvery)
+      now - this.#changedAt >= Math.max(bounds.boot, constants.scaleDownIntervalMs)
     );
   }
 
@@ -166,7 +166,7 @@
 
 /** How long, in ms, fewer runners must have been enough before fewer are ordered. */
 function lowerAfterMs({ boot }: ScalingBounds): number {
-  return Math.max(constants.scalingLowerAfter, constants.scalingLowerBoots * boot);
+  return Math.max(constants.scaleDownDelayMs, constants.scaleDownDelayBoots * boot);
 }
 
 function sumOf(desired: ReadonlyMap<string, number>): number {
--- a/packages/control/src/scaling/scaling-facts.ts
+++ b/packages/control/src/scaling/scaling-facts.ts
@@ -1,5 +1,5 @@
 /** The input of scaling decisions, from sessions and the configuration (docs/design.md §14.4). */
-import type { RunnerCard, Sessions } from "@chutewick/parts";
+import type { RunnerDescriptor, Sessions } from "@chutewick/parts";
 import type { Configuration } from "../configuration.js";
 
 /** Bounds of the number of runners of a pool; they hold for each zone separately. */
@@ -75,7 +75,7 @@
 }
 
 function zonesOf(
-  runners: readonly RunnerCard[],
+  runners: readonly RunnerDescriptor[],
   ordered: ReadonlyMap<string, number>,
 ): ZoneRunners[] {
   const counts = new Map<string, number>();
@@ -84,14 +84,14 @@
   return [...counts].map(([zone, count]) => ({ zone, runners: count, ordered: ordered.get(zone) }));
 }
 
-function averageSlots(runners: readonly RunnerCard[]): number {
+function averageSlots(runners: readonly RunnerDescriptor[]): number {
   let sum = 0;
   for (const { seats } of runners) sum += seats;
   return runners.length === 0 ? 1 : Math.max(1, sum / runners.length);
 }
 
 function sumOf(
-  runners: readonly RunnerCard[],
+  runners: readonly RunnerDescriptor[],
   work: ReadonlyMap<string, { readonly live: number; readonly items: number }>,
 ): { live: number; items: number } {
   const sum = { live: 0, items: 0 };
--- a/packages/control/src/scaling/scaling-planner.ts
+++ b/packages/control/src/scaling/scaling-planner.ts
@@ -13,7 +13,7 @@
   orders({ pools, accessNodes }: ScalingFacts, now: number): ScalingOrder[] {
     this.#maxAccessNodes = Math.max(this.#maxAccessNodes, accessNodes);
     const isWorkKnown =
-      accessNodes > 0 && accessNodes >= this.#maxAccessNodes * constants.scalingHeard;
+      accessNodes > 0 && accessNodes >= this.#maxAccessNodes * constants.minReportingNodesFraction;
     const orders: ScalingOrder[] = [];
     for (const load of pools) {
       let scaler = this.#scalers.get(load.pool);
--- a/packages/control/src/scaling/zone-standing.ts
+++ b/packages/control/src/scaling/zone-standing.ts
@@ -26,13 +26,13 @@
 
   /** The number of runners that served, or should serve by now, but do not; in a failed zone, all of them. */
   lost(boot: number, now: number): number {
-    const isBooted = now - this.#raisedAt > boot + constants.scalingBootLate;
+    const isBooted = now - this.#raisedAt > boot + constants.bootGraceMs;
     const expected = isBooted ? this.ordered : this.#served;
     return Math.max(0, expected - this.#runners);
   }
 
   /** Whether so many runners are lost that new ones are unlikely to start in this zone. */
   isBroken(boot: number, now: number): boolean {
-    return this.lost(boot, now) > this.ordered * constants.scalingZoneLost;
+    return this.lost(boot, now) > this.ordered * constants.lostZoneFraction;
   }
 }
--- a/packages/control/src/service.ts
+++ b/packages/control/src/service.ts
@@ -27,17 +27,17 @@
   type DiskCondition,
   type DutyBounds,
   type Outcome,
-  type RunnerCard,
+  type RunnerDescriptor,
 } from "@chutewick/parts";
 import type { ServiceSchema } from "moleculer";
 import type { ControlDesk, ControlFront } from "./control-desk.js";
 import type {
-  Announced,
+  ReportAnswer,
   ControlMessage,
   ControlOutcome,
   ControlOutput,
 } from "./control-messages.js";
-import { ControlCore, noQuorum } from "./core.js";
+import { ControlCore, noQuorumReason } from "./core.js";
 import { DutyService, type DutyPlatform } from "./duties/duty-service.js";
 import type { Explained } from "./explain.js";
 import type { ControlCommand } from "./machine.js";
@@ -124,12 +124,12 @@
     if (settings.duties !== undefined && extras.dutyPlatform !== undefined)
       opened.#duties = opened.#dutyService(settings.name, settings.duties, extras.dutyPlatform);
     const listenError = await listen(opened.#wire, opened.#gateway);
-    if (listenError !== undefined) return outcome.bad(listenError);
+    if (listenError !== undefined) return outcome.failure(listenError);
     function tick(now: number): void {
       dataFolder.beat(now);
-      opened.#perform(opened.#core.beat(now, Date.now()));
+      opened.#perform(opened.#core.tick(now, Date.now()));
       opened.#wire.beat(now);
-      opened.#duties?.beat(now, opened.#core.dutySituation(now));
+      opened.#duties?.beat(now, opened.#core.dutyContext(now));
     }
     opened.#perform(opened.#core.start(monotonic()));
     opened.#ticker.start(tick);
@@ -138,7 +138,7 @@
       { identity: disk.value.identity, wire: settings.wire, http: settings.http },
       "control machine is running",
     );
-    return outcome.good(opened);
+    return outcome.success(opened);
   }
 
   changeDisk(condition: DiskCondition): void {
@@ -152,12 +152,12 @@
   async close(): Promise<void> {
     this.#perform(this.#core.leave(monotonic()));
     const self = this;
-    const deadline = monotonic() + constants.handOverPatience;
+    const deadline = monotonic() + constants.handOverTimeoutMs;
     function isReleased(): boolean {
       return !self.#core.isNeeded || monotonic() > deadline;
     }
     await settled(isReleased);
-    const closing = [this.#gateway.close(constants.ordersAnsweredWithin)];
+    const closing = [this.#gateway.close(constants.orderReplyTimeoutMs)];
     for (const adapter of this.#adapters) closing.push(adapter.close());
     this.#duties?.close();
     await Promise.all(closing);
@@ -186,7 +186,7 @@
   /** The API for adapters (docs/design.md §13.2). */
   #api(): ControlDesk {
     const self = this;
-    function announce(card: Omit<RunnerCard, "age">, sequence: number): Announced["kind"] {
+    function announce(card: Omit<RunnerDescriptor, "age">, sequence: number): ReportAnswer["kind"] {
       const { told: acknowledgement, outputs } = self.#core.announce(card, sequence, monotonic());
       self.#perform(outputs);
       return acknowledgement.kind;
@@ -287,8 +287,8 @@
     }
     // Rejects a request without quorum contact, since the state of this machine may be out of date.
     function isRejectedWithoutQuorum(arrival: Arrival): boolean {
-      if (self.#core.inContact(monotonic())) return false;
-      operatorReplies.sendOutcome(arrival.reply, { kind: "not-run", reason: noQuorum });
+      if (self.#core.hasQuorum(monotonic())) return false;
+      operatorReplies.sendOutcome(arrival.reply, { kind: "not-run", reason: noQuorumReason });
       return true;
     }
     function explain(arrival: Arrival): void {
@@ -355,7 +355,7 @@
         case "write": {
           const { ticket } = output;
           function written(): void {
-            self.#perform(self.#core.writtenChain(ticket, monotonic()));
+            self.#perform(self.#core.chainWritten(ticket, monotonic()));
           }
           this.#disk.writeChain(output.chain, output.write, written);
           break;
@@ -363,7 +363,7 @@
         case "vote": {
           const { ticket } = output;
           function written(): void {
-            self.#perform(self.#core.writtenVote(ticket, monotonic()));
+            self.#perform(self.#core.voteWritten(ticket, monotonic()));
           }
           this.#disk.writeVotes(output.state, written);
           break;
@@ -386,11 +386,11 @@
 /** The configuration version that a change is based on, from the If-Match header. */
 function expectedVersion(arrival: Arrival): Outcome<number | undefined> {
   const text = arrival.headers["if-match"];
-  if (text === undefined) return outcome.good(undefined);
+  if (text === undefined) return outcome.success(undefined);
   const mark = Number(text.replaceAll('"', ""));
   return Number.isInteger(mark) && mark >= 0
-    ? outcome.good(mark)
-    : outcome.bad("If-Match must hold a mark, a whole number");
+    ? outcome.success(mark)
+    : outcome.failure("If-Match must hold a mark, a whole number");
 }
 
 /** Maximum length of an Idempotency-Key header, in characters. */
@@ -402,9 +402,9 @@
  */
 function idempotencyKey(arrival: Arrival, kind: "put" | "patch"): Outcome<string | undefined> {
   const key = arrival.headers["idempotency-key"];
-  if (key === undefined) return outcome.good(undefined);
+  if (key === undefined) return outcome.success(undefined);
   if (typeof key !== "string" || key === "" || key.length > maxIdempotencyKeyLength)
-    return outcome.bad(`Idempotency-Key must have 1 to ${maxIdempotencyKeyLength} characters`);
+    return outcome.failure(`Idempotency-Key must have 1 to ${maxIdempotencyKeyLength} characters`);
   const request = JSON.stringify([key, kind, arrival.headers["if-match"] ?? null, arrival.body]);
-  return outcome.good(createHash("sha256").update(request).digest("base64url"));
+  return outcome.success(createHash("sha256").update(request).digest("base64url"));
 }
--- a/packages/control/src/shares-in-step.ts
+++ b/packages/control/src/shares-in-step.ts
@@ -2,7 +2,7 @@
 import type { Feed } from "@chutewick/parts";
 import { configuration, type MarkedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
-import { standingClasses, type ControlCommand, type QueueStanding } from "./machine.js";
+import { quotaClasses, type ControlCommand, type QueueQuota } from "./machine.js";
 
 /**
  * Tracks for the head which changes already have their shares in the feed. A change that moves shares is in force only together
@@ -29,13 +29,13 @@
 function hasSeasons(feed: Feed): boolean {
   const { value } = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
   if (Object.keys(value.seasons).length > 0) return true;
-  for (const [, standing] of feed.under<QueueStanding>(keys.standing))
-    if (standingClasses(standing).some(({ season }) => season !== "")) return true;
+  for (const [, standing] of feed.under<QueueQuota>(keys.standing))
+    if (quotaClasses(standing).some(({ season }) => season !== "")) return true;
   return false;
 }
 
 function changesShares(command: ControlCommand, feed: Feed): boolean {
   if (command.kind !== "stand") return false;
-  const current = feed.read<QueueStanding>(keys.standing + command.queue);
+  const current = feed.read<QueueQuota>(keys.standing + command.queue);
   return current?.shareMark !== command.standing.shareMark;
 }
--- a/packages/control/src/silent-nodes.ts
+++ b/packages/control/src/silent-nodes.ts
@@ -26,7 +26,7 @@
   silent(live: ReadonlySet<string>, recorded: Iterable<string>, now: number): string[] {
     for (const address of live) this.#lastSeenAt.set(address, now);
     for (const [address, seenAt] of this.#lastSeenAt)
-      if (now - seenAt > constants.silentNodeRemembered) this.#lastSeenAt.delete(address);
+      if (now - seenAt > constants.silentNodeRetentionMs) this.#lastSeenAt.delete(address);
     const silent: string[] = [];
     for (const address of new Set([...recorded, ...this.#lastSeenAt.keys()]))
       if (!live.has(address)) silent.push(address);
--- a/packages/control/src/usage/control-usage.ts
+++ b/packages/control/src/usage/control-usage.ts
@@ -1,5 +1,5 @@
 /** Usage counts and the agreed clock on a control machine (docs/design.md §14.1, §14.2). */
-import { AgreedTime, lateness, type Member } from "@chutewick/parts";
+import { AgreedTime, maxTransitMs, type Member } from "@chutewick/parts";
 import type {
   ControlOutput,
   RegistryMessage,
@@ -37,7 +37,7 @@
   beat(now: number, wall: number): void {
     this.#wall = wall;
     this.#wallReadAt = now;
-    this.time.heard({ source: this.#self.address, wall, late: 0 }, now);
+    this.time.recordReading({ source: this.#self.address, wall, late: 0 }, now);
   }
 
   /**
@@ -50,7 +50,10 @@
     now: number,
   ): ControlOutput[] {
     if (wall !== undefined)
-      this.time.heard({ source: from, wall, late: lateness(back, this.#incarnation, now) }, now);
+      this.time.recordReading(
+        { source: from, wall, late: maxTransitMs(back, this.#incarnation, now) },
+        now,
+      );
     if (stamp === undefined || this.#peerIncarnations.get(from) === stamp.life) return [];
     this.#peerIncarnations.set(from, stamp.life);
     return this.ledger.told(isClosed).map((message) => ({ kind: "send", to: from, message }));
--- a/packages/control/src/usage/usage-ledger.ts
+++ b/packages/control/src/usage/usage-ledger.ts
@@ -79,7 +79,7 @@
   #isKept(window: number, now: number): boolean {
     const current = this.windowAt(now);
     if (current === undefined || this.#windowMs === undefined) return false;
-    return Math.abs(window - current) * this.#windowMs <= constants.usageLedgerKept;
+    return Math.abs(window - current) * this.#windowMs <= constants.usageLedgerRetentionMs;
   }
 
   #tenantsOf(window: number, incarnation: string): Map<string, number> {
@@ -99,7 +99,7 @@
 
 function messageOf(incarnation: string, windows: readonly WindowUsage[]): UsageMessage {
   const included: WindowUsage[] = [];
-  let left = constants.usageCountsMost;
+  let left = constants.maxUsageCountsPerMessage;
   for (const { window, counts } of windows) {
     const fitting: readonly TenantCount[] = counts.slice(0, left);
     left -= fitting.length;
--- a/packages/control/src/zones.ts
+++ b/packages/control/src/zones.ts
@@ -1,11 +1,11 @@
-import type { Member, NodeCard } from "@chutewick/parts";
+import type { Member, NodeDescriptor } from "@chutewick/parts";
 
 /** Spread of replicas over zones (docs/design.md §8.2). */
 
 /** Zones of the live members. */
 export function zonesOf(
   members: readonly Member[],
-  live: ReadonlyMap<string, NodeCard>,
+  live: ReadonlyMap<string, NodeDescriptor>,
 ): Set<string> {
   const zones = new Set<string>();
   for (const { identity } of members) {
@@ -18,7 +18,7 @@
 /** Live members that share their zone with another live member. */
 export function membersSharingZone(
   members: readonly Member[],
-  live: ReadonlyMap<string, NodeCard>,
+  live: ReadonlyMap<string, NodeDescriptor>,
 ): Member[] {
   const byZone = new Map<string, Member[]>();
   for (const member of members) {
@@ -36,7 +36,7 @@
 /** Reorders ranked identities so that the first of each zone precede all others; the order is otherwise kept. */
 export function spreadOverZones(
   ranked: readonly string[],
-  live: ReadonlyMap<string, NodeCard>,
+  live: ReadonlyMap<string, NodeDescriptor>,
 ): string[] {
   const first: string[] = [];
   const others: string[] = [];
--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -1,12 +1,12 @@
 /** The core of an access node, without I/O: it takes events and returns commands for its shell (docs/design.md §5, §6, §13). */
-import { policy, type Policy, type RunnerCard, type Telling } from "@chutewick/parts";
+import { policy, type Policy, type RunnerDescriptor, type NodeReport } from "@chutewick/parts";
 import { newAccessCounts, type AccessCounts } from "./access-counts.js";
 import type { AccessOutput, GoEvent } from "./access-output.js";
 import { Admission } from "./admission.js";
 import { Attempts } from "./attempts.js";
-import { Choice } from "./choice.js";
+import { RunnerBalancer } from "./choice.js";
 import { ControlCalls } from "./control-calls.js";
-import type { PassEvent } from "./dialect.js";
+import type { PassageEvent } from "./dialect.js";
 import { LiveRequests } from "./live-requests.js";
 import { LotRequests } from "./lot-requests.js";
 import { Membership, type Standing } from "./membership.js";
@@ -34,14 +34,14 @@
   /** Attempts under way. */
   readonly gos: number;
   readonly counts: Readonly<Record<string, number>>;
-  readonly runners: readonly RunnerCard[];
+  readonly runners: readonly RunnerDescriptor[];
 }
 
 /** One access node: dispatches events to the parts that handle them. */
 export class AccessCore {
   readonly membership: Membership;
   /** Chooses the runners of requests on passages (§13.4). */
-  readonly choice: Choice;
+  readonly choice: RunnerBalancer;
   /** Lots (batch jobs) of passages (§13.7). */
   readonly lots: PassLots;
   /** Live requests on passages (§13.5). */
@@ -64,14 +64,14 @@
     nodeIdentity: Standing,
     seeds: readonly string[],
     now: number,
-    nodePolicy: Policy = policy.usual,
+    nodePolicy: Policy = policy.defaults,
   ) {
     this.#nodeIdentity = nodeIdentity;
     this.#now = now;
-    const buildReport = (): Telling => this.#buildReport();
+    const buildReport = (): NodeReport => this.#buildReport();
     const membership = new Membership(nodeIdentity, seeds, now, buildReport, nodePolicy);
     this.membership = membership;
-    this.choice = new Choice(membership, nodeIdentity);
+    this.choice = new RunnerBalancer(membership, nodeIdentity);
     const pendingCalls = new PendingCalls(membership);
     const nextTicket = (): string => pendingCalls.ticket();
     this.#pendingCalls = pendingCalls;
@@ -96,7 +96,7 @@
     this.lots = new PassLots(membership, this.choice, pendingCalls, this.relay);
   }
 
-  #buildReport(): Telling {
+  #buildReport(): NodeReport {
     return {
       runners: this.#registrations.cards(this.#now),
       lots: this.#attempts.promptsByRunner(),
@@ -112,7 +112,7 @@
 
   /** Number of requests and items under way. Calls to queue owners do not count: even an idle node always has dequeue calls there. */
   get running(): number {
-    return this.#attempts.size + this.relay.busy + this.lots.dispatcher.underWay;
+    return this.#attempts.size + this.relay.busy + this.lots.dispatcher.runningCount;
   }
 
   /** Begins a planned stop: no new work is fetched, and what is under way continues. */
@@ -183,7 +183,7 @@
       ...this.#controlCalls.beat(now),
       ...this.usage.beat(now, wallClock, this.membership.toldAt === now),
     ];
-    this.#registrations.beat(now);
+    this.#registrations.tick(now);
     outputs.push(...this.#dispatcher.beat(now));
     outputs.push(...this.relay.beat(now), ...this.lots.beat(now));
     return outputs;
@@ -229,7 +229,7 @@
   }
 
   /** Handles an event of the connection on which an attempt on a passage runs. */
-  passEvent(attempt: number, event: PassEvent, now: number): AccessOutput[] {
+  passEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
     this.#now = now;
     return this.lots.has(attempt)
       ? this.lots.goEvent(attempt, event, now)
@@ -237,7 +237,7 @@
   }
 
   /** Handles a runner's announcement of itself (§7.5). */
-  announce(ticket: string, card: Omit<RunnerCard, "age">, now: number): AccessOutput[] {
+  announce(ticket: string, card: Omit<RunnerDescriptor, "age">, now: number): AccessOutput[] {
     return this.#registrations.announce(ticket, card, now);
   }
 
--- a/packages/data/src/access-desk.ts
+++ b/packages/data/src/access-desk.ts
@@ -1,7 +1,7 @@
 /** The API of an access node towards its protocol adapters (docs/design.md §13.2). */
 import type { CallerLimits } from "@chutewick/parts";
-import type { PassRequest } from "./dialect.js";
-import type { LotCall, LotHandedIn, LotReading, LotTold } from "./pass.js";
+import type { PassageRequest } from "./dialect.js";
+import type { LotCall, SubmittedLot, LotResultsQuery, LotReply } from "./pass.js";
 
 /** Receives the result of a live request on a passage, part by part. */
 export interface PassCaller {
@@ -16,7 +16,7 @@
 }
 
 /** Receives the reply to a call on a lot (a batch job). */
-export type LotCaller = (reply: LotTold) => void;
+export type LotCaller = (reply: LotReply) => void;
 
 /** Calls that a protocol adapter may make. Those that start a request return its ticket. */
 export interface AccessDesk {
@@ -27,11 +27,11 @@
   /** Whether a POST to this host and path submits a lot, by the configuration known to this node. */
   takesLots(host: string, path: string): boolean;
   /** Starts a live request on a passage. */
-  pass(request: PassRequest, caller: PassCaller): string;
+  pass(request: PassageRequest, caller: PassCaller): string;
   /** Submits a lot. */
-  handIn(lot: LotHandedIn, caller: LotCaller): string;
+  handIn(lot: SubmittedLot, caller: LotCaller): string;
   /** Reads results of a lot. */
-  readLot(call: LotCall, query: LotReading, caller: LotCaller): string;
+  readLot(call: LotCall, query: LotResultsQuery, caller: LotCaller): string;
   /** Reads the input of one item of a lot. */
   readItem(call: LotCall, item: string, caller: LotCaller): string;
   /** Ends a lot; the rest of it no longer runs. */
--- a/packages/data/src/access-output.ts
+++ b/packages/data/src/access-output.ts
@@ -1,6 +1,6 @@
 /** Commands of an access node's core to its shell, and events of connections to runners (docs/design.md §5, §6). */
 import type { ErrorBody } from "./error-reply.js";
-import type { PassOutput } from "./pass.js";
+import type { PassageOutput } from "./pass.js";
 import type { DataMessage } from "./queue-messages.js";
 
 /** A command of the core to its shell. */
@@ -43,7 +43,7 @@
   | { readonly kind: "abandon"; readonly go: number }
   /** Logs a line and counts it; `text` is the label of the metric. */
   | { readonly kind: "note"; readonly text: string; readonly facts: Record<string, unknown> }
-  | PassOutput;
+  | PassageOutput;
 
 /** The work that is sent to a runner for a live request or a dequeued prompt. */
 export type Work =
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -34,14 +34,14 @@
 import type { AccessOutput, GoEvent } from "./access-output.js";
 import type { AccessDesk, AccessFront, LotCaller, PassCaller } from "./access-desk.js";
 import { PassCallers } from "./caller-delivery.js";
-import type { PassEvent, PassRequest, RunnerDialect } from "./dialect.js";
+import type { PassageEvent, PassageRequest, RunnerProtocol } from "./dialect.js";
 import type { ErrorBody } from "./error-reply.js";
 import { Links } from "./link.js";
 import { MembershipLog } from "./membership-log.js";
-import { ownDialect } from "./own-dialect.js";
+import { nativeProtocol } from "./own-dialect.js";
 import { PassConnections } from "./pass-link.js";
 import { PlannedStop, stopTimes } from "./planned-stop.js";
-import type { LotCall, LotHandedIn, LotReading, PassOutput } from "./pass.js";
+import type { LotCall, SubmittedLot, LotResultsQuery, PassageOutput } from "./pass.js";
 import type { RelayCore } from "./relay-core.js";
 import type { DataMessage } from "./queue-messages.js";
 import { WarmUp, type WarmUpResult } from "./warm-up/warm-up.js";
@@ -63,7 +63,7 @@
 /** Optional extensions of an access process. */
 export interface AccessExtras {
   /** Protocol adapter for runners of passages; the native protocol by default. */
-  readonly dialect?: RunnerDialect;
+  readonly dialect?: RunnerProtocol;
   /** Protocol adapters for callers, beside the built-in HTTP interface. */
   readonly fronts?: readonly AccessFront[];
   /** Sample messages for a warm-up (§13.9); without them there is none. */
@@ -90,7 +90,7 @@
   #membershipLog: MembershipLog;
   #relay: RelayCore;
   #plannedStop: PlannedStop | undefined;
-  #protocol: RunnerDialect;
+  #protocol: RunnerProtocol;
   /** Sample messages of a warm-up that has not begun yet. */
   #warmUpSample: WarmUpSample | undefined;
   #ticketPrefix = randomUUID().slice(0, 8);
@@ -99,7 +99,7 @@
   private constructor(settings: Settings, log: Log, extras: AccessExtras) {
     this.#log = log;
     this.#adapters = extras.fronts ?? [];
-    this.#protocol = extras.dialect ?? ownDialect;
+    this.#protocol = extras.dialect ?? nativeProtocol;
     this.#warmUpSample = extras.warmUp;
     const self = this;
     function receive(message: unknown, from: string): void {
@@ -129,11 +129,11 @@
     function mayStartOnPassage(attempt: number): string | undefined {
       return self.#core.mayPass(attempt, monotonic());
     }
-    function onPassageEvent(attempt: number, event: PassEvent): void {
+    function onPassageEvent(attempt: number, event: PassageEvent): void {
       self.#perform(self.#core.passEvent(attempt, event, monotonic()));
     }
     function connectionLimit(address: string): number {
-      return self.#core.choice.share(address);
+      return self.#core.choice.connectionLimit(address);
     }
     this.#membershipLog = new MembershipLog(this.#core.membership);
     this.#relay = this.#core.relay;
@@ -171,7 +171,7 @@
   ): Promise<Outcome<AccessProcess>> {
     const access = new AccessProcess(settings, log, extras);
     const failure = await listen(access.#wire, access.#gateway);
-    if (failure !== undefined) return outcome.bad(failure);
+    if (failure !== undefined) return outcome.failure(failure);
     function tick(now: number): void {
       access.#perform(access.#core.beat(now, Date.now()));
       access.#logMembership(now);
@@ -185,7 +185,7 @@
       { wire: settings.wire, http: settings.http, startedIn: Math.round(performance.now()) },
       "access node is up",
     );
-    return outcome.good(access);
+    return outcome.success(access);
   }
 
   #logMembership(now: number): void {
@@ -193,7 +193,7 @@
     if (changed !== undefined) this.#log.info(changed, "membership state changed");
   }
 
-  #logRefusal({ status, reason }: Extract<PassOutput, { kind: "pass-refused" }>): void {
+  #logRefusal({ status, reason }: Extract<PassageOutput, { kind: "pass-refused" }>): void {
     const membershipState = this.#membershipLog.refused(status, monotonic());
     if (membershipState !== undefined)
       this.#log.info(
@@ -281,7 +281,7 @@
     function takesLots(host: string, path: string): boolean {
       return self.#relay.passages.find(host, path)?.passage.kind === "lot";
     }
-    function pass(request: PassRequest, caller: PassCaller): string {
+    function pass(request: PassageRequest, caller: PassCaller): string {
       const ticket = nextTicket();
       self.#passageCallers.add(ticket, caller);
       self.#perform(self.#relay.arrive(ticket, request, monotonic()));
@@ -296,13 +296,13 @@
       self.#perform(start(ticket));
       return ticket;
     }
-    function handIn(lot: LotHandedIn, caller: LotCaller): string {
+    function handIn(lot: SubmittedLot, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.handIn(ticket, lot, monotonic());
       }
       return startCall(caller, start);
     }
-    function readLot(call: LotCall, query: LotReading, caller: LotCaller): string {
+    function readLot(call: LotCall, query: LotResultsQuery, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.read(ticket, call, query, monotonic());
       }
@@ -334,7 +334,7 @@
       return self.#plannedStop === undefined && self.#core.membership.serves(monotonic());
     }
     function limitsOfCallers(): CallerLimits {
-      return callerLimits.withUsual(self.#core.membership.configuration.value.callers);
+      return callerLimits.withDefaults(self.#core.membership.configuration.value.callers);
     }
     return {
       isReady,
@@ -549,7 +549,7 @@
 
   /** Writes an output to the response of its caller. */
   #sendReply(
-    output: Exclude<AccessOutput, PassOutput | { kind: "send" | "run" | "abandon" | "note" }>,
+    output: Exclude<AccessOutput, PassageOutput | { kind: "send" | "run" | "abandon" | "note" }>,
   ): void {
     const response = this.#responses.get(output.ticket);
     if (response === undefined) return;
--- a/packages/data/src/attempts.ts
+++ b/packages/data/src/attempts.ts
@@ -1,5 +1,5 @@
 /** The attempts of an access node: each sends one job to one runner (docs/design.md §6.1). */
-import type { RunnerCard } from "@chutewick/parts";
+import type { RunnerDescriptor } from "@chutewick/parts";
 import type { DrawnPrompt, Job } from "./access-jobs.js";
 import type { AccessOutput, Work } from "./access-output.js";
 import type { Membership } from "./membership.js";
@@ -16,7 +16,7 @@
 /** The parameters of a new attempt. */
 export interface AttemptStart {
   readonly job: Job;
-  readonly runner: RunnerCard;
+  readonly runner: RunnerDescriptor;
   readonly work: Work;
   /** Idle timeout of the connection to the runner, in ms. */
   readonly silence: number;
@@ -85,7 +85,7 @@
   }
 
   /** Slots taken at a runner: the load that it reported plus the attempts that this node started since. */
-  load(runner: RunnerCard, now: number): number {
+  load(runner: RunnerDescriptor, now: number): number {
     let ownAttempts = 0;
     let startedSinceReport = 0;
     for (const attempt of this.#attempts.values()) {
--- a/packages/data/src/caller-delivery.ts
+++ b/packages/data/src/caller-delivery.ts
@@ -1,15 +1,15 @@
 /** Delivers outputs of the relay to the callers of live requests on passages. */
 import type { PassCaller } from "./access-desk.js";
-import type { PassOutput } from "./pass.js";
+import type { PassageOutput } from "./pass.js";
 
 /** Outputs of the relay that go to the caller of a request. */
 export type CallerOutput = Extract<
-  PassOutput,
+  PassageOutput,
   { kind: "pass-head" | "pass-bytes" | "pass-end" | "pass-cut" | "pass-refused" }
 >;
 
 /** Whether an output goes to the caller of a request. */
-export function isForCaller(output: PassOutput): output is CallerOutput {
+export function isForCaller(output: PassageOutput): output is CallerOutput {
   return "ticket" in output && output.kind !== "lot-told";
 }
 
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -3,14 +3,14 @@
  * (docs/design.md §13.4). The state of the runners comes from the traffic of this node and from the loads that the access
  * nodes exchange through their sessions.
  */
-import { constants, type RunnerCard } from "@chutewick/parts";
+import { constants, type RunnerDescriptor } from "@chutewick/parts";
 import { ChoiceCounts } from "./choice-counts.js";
 import type { FleetView } from "./fleet-view.js";
 import type { Standing } from "./membership.js";
-import type { PassRequest } from "./dialect.js";
+import type { PassageRequest } from "./dialect.js";
 
 /** The runner, with its incarnation, that an attempt is sent to. */
-export interface Chosen {
+export interface ChosenRunner {
   readonly runner: string;
   readonly incarnation: number;
   readonly address: string;
@@ -20,11 +20,11 @@
  * How an attempt ended: `refused`: the runner did not run it; `unsent`: no byte was sent; `broken`: the connection failed
  * before the result was whole; `left`: the caller went away.
  */
-export type GoEnd = "done" | "refused" | "unsent" | "broken" | "failed" | "left";
+export type AttemptOutcome = "done" | "refused" | "unsent" | "broken" | "failed" | "left";
 
 /** One incarnation of a runner, as observed by this node. */
 interface RunnerState {
-  card: RunnerCard;
+  card: RunnerDescriptor;
   /** Hash of the runner id, for the rendezvous hashing of shared prompt parts. */
   readonly hash: number;
   /** Maximum number of connections from this node. */
@@ -109,7 +109,7 @@
 }
 
 /** Keeps the state of the runners and chooses among them. Times are in ms of the monotonic clock. */
-export class Choice {
+export class RunnerBalancer {
   readonly counts = new ChoiceCounts();
   #fleet: FleetView;
   #node: Standing;
@@ -131,7 +131,7 @@
   constructor(fleet: FleetView, node: Standing) {
     this.#fleet = fleet;
     this.#node = node;
-    this.#randomState = (hashOf(node.identity) | 1) >>> 0;
+    this.#randomState = (hashText(node.identity) | 1) >>> 0;
   }
 
   /** @param openConnections returns the number of open connections to an address, including those in use */
@@ -144,7 +144,7 @@
   }
 
   /** Returns the next attempt number of this process. */
-  nextGo(): number {
+  nextAttemptNumber(): number {
     this.#lastAttempt += 1;
     return this.#lastAttempt;
   }
@@ -155,11 +155,11 @@
    */
   choose(
     pool: string,
-    request: PassRequest,
+    request: PassageRequest,
     tried: ReadonlySet<string>,
     item: boolean,
     now: number,
-  ): Chosen | undefined {
+  ): ChosenRunner | undefined {
     this.#refresh(now);
     const prompt = this.#describePrompt(pool, request, item);
     let best: RunnerState | undefined;
@@ -169,14 +169,17 @@
       if (tried.has(card.id) || !servesModel(card, request.model)) continue;
       if (
         slotsTaken(state, item) >=
-        card.seats * (item ? itemSlotPart(state, this.#isPartitioned(pool)) : constants.seatsMost)
+        card.seats *
+          (item ? itemSlotPart(state, this.#isPartitioned(pool)) : constants.maxSlotOvercommit)
       )
         continue;
       let cost =
-        this.#expectedMs(state, prompt, now) * (1 + this.#random() * constants.choiceJitter);
+        this.#expectedMs(state, prompt, now) *
+        (1 + this.#random() * constants.choiceJitterFraction);
       if (prompt.tokens !== undefined) cost += misplacementPenalty(state, prompt);
-      if (card.zone !== this.#node.zone) cost += constants.otherZone;
-      if (now < state.avoidedUntil || this.#isSilent(state, now)) cost += constants.shyPrice;
+      if (card.zone !== this.#node.zone) cost += constants.otherZoneCostMs;
+      if (now < state.avoidedUntil || this.#isSilent(state, now))
+        cost += constants.avoidedRunnerCostMs;
       if (cost < lowestCost) {
         lowestCost = cost;
         best = state;
@@ -188,9 +191,9 @@
       : { runner: best.card.id, incarnation: best.card.incarnation, address: best.card.url };
   }
 
-  #describePrompt(pool: string, request: PassRequest, item: boolean): Prompt {
+  #describePrompt(pool: string, request: PassageRequest, item: boolean): Prompt {
     const tokens = promptTokens(request);
-    const isLong = !item && tokens !== undefined && tokens >= constants.longLeast;
+    const isLong = !item && tokens !== undefined && tokens >= constants.minLongPromptTokens;
     const shared = sharedPartsOf(request);
     return {
       tokens,
@@ -208,13 +211,15 @@
     const occupied = this.#estimatedLoad(state, prompt.item);
     const excess = Math.max(0, occupied + 1 - seats) / seats;
     if (prompt.tokens === undefined)
-      return state.typicalFirstOutputMs * (1 + occupied / seats + excess * constants.queueWeight);
+      return (
+        state.typicalFirstOutputMs * (1 + occupied / seats + excess * constants.queuedRequestWeight)
+      );
     return (
       (this.#prefillMs(state, prompt, now) +
         state.reading +
-        occupied * constants.besidePrice +
-        excess * constants.seatWait +
-        constants.firstLeast) *
+        occupied * constants.concurrentRequestCostMs +
+        excess * constants.slotWaitMs +
+        constants.minFirstOutputMs) *
       state.slowness
     );
   }
@@ -226,7 +231,10 @@
   #estimatedLoad(state: RunnerState, item: boolean): number {
     return (
       slotsTaken(state, item) +
-      Math.max(0, state.live * (this.#nodes - 1) * constants.alikePart - state.othersLive)
+      Math.max(
+        0,
+        state.live * (this.#nodes - 1) * constants.assumedPeerLoadFraction - state.othersLive,
+      )
     );
   }
 
@@ -242,14 +250,14 @@
         : 0;
     const uncachedSize = promptSize - cachedSize;
     return (
-      uncachedSize / constants.tokensRead +
-      (uncachedSize * (promptSize - uncachedSize / 2)) / constants.pairsRead
+      uncachedSize / constants.promptTokensPerMs +
+      (uncachedSize * (promptSize - uncachedSize / 2)) / constants.promptTokenPairsPerMs
     );
   }
 
   #wasPrefilled(shared: SharedParts, state: RunnerState, now: number): boolean {
     const at = this.#prefilledAt.get(shared.hash)?.get(state.card.id);
-    return at !== undefined && now - at < constants.partsKept;
+    return at !== undefined && now - at < constants.prefixRetentionMs;
   }
 
   /** Whether work is in progress but the runner has sent nothing for longer than the prefill should take. */
@@ -258,31 +266,33 @@
       state.live + state.items > 0 &&
       now - state.heardAt >
         state.reading +
-          (state.card.models.length > 0 ? constants.quietReading : constants.quietLeast)
+          (state.card.models.length > 0
+            ? constants.quietModelRunnerTimeoutMs
+            : constants.quietRunnerTimeoutMs)
     );
   }
 
   /** Whether the runner of an attempt has stopped responding to all work of this node. */
-  isQuiet(attemptNumber: number, now: number): boolean {
+  isRunnerSilent(attemptNumber: number, now: number): boolean {
     const attempt = this.#attempts.get(attemptNumber);
     return attempt !== undefined && this.#isSilent(attempt.state, now);
   }
 
   /** Like `isQuiet`, but later events of items count as responses, too. */
-  isDark(attemptNumber: number, now: number): boolean {
+  isRunnerUnresponsive(attemptNumber: number, now: number): boolean {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt === undefined || !this.#isSilent(attempt.state, now)) return false;
-    return now - attempt.state.itemHeardAt > constants.quietReading;
+    return now - attempt.state.itemHeardAt > constants.quietModelRunnerTimeoutMs;
   }
 
   /** Whether any runner of a pool is announced. */
-  knows(pool: string, now: number): boolean {
+  hasRunners(pool: string, now: number): boolean {
     this.#refresh(now);
     return this.#pools.has(pool);
   }
 
   /** Whether this incarnation of a runner is still announced and not deregistered. */
-  stands(chosen: Chosen, now: number): boolean {
+  isAnnounced(chosen: ChosenRunner, now: number): boolean {
     this.#refresh(now);
     return (
       this.#states.get(incarnationKey(chosen.runner, chosen.incarnation))?.isAnnounced === true
@@ -290,23 +300,23 @@
   }
 
   /** Maximum number of connections to the runner at an address: this node's part of the limit of the pool. */
-  share(address: string): number {
-    return this.#addresses.get(address)?.connections ?? constants.connectionsUntold;
+  connectionLimit(address: string): number {
+    return this.#addresses.get(address)?.connections ?? constants.defaultRunnerConnections;
   }
 
   /** This node's part of the connections that a pool allows to one runner. */
   #ownConnectionLimit(pool: string): number {
     const poolLimit = this.#fleet.configuration.value.pools?.[pool]?.connections ?? 0;
     return poolLimit === 0
-      ? constants.connectionsUntold
-      : Math.max(1, Math.floor((poolLimit * constants.connectionsPart) / this.#nodes));
+      ? constants.defaultRunnerConnections
+      : Math.max(1, Math.floor((poolLimit * constants.connectionLimitFraction) / this.#nodes));
   }
 
   /** Records that an attempt starts at a runner. */
-  begin(
+  recordStart(
     attemptNumber: number,
     runner: string,
-    request: PassRequest,
+    request: PassageRequest,
     item: boolean,
     now: number,
   ): void {
@@ -349,19 +359,19 @@
   }
 
   /** Records that the runner of an attempt sent something. */
-  sign(attemptNumber: number, now: number): void {
+  recordActivity(attemptNumber: number, now: number): void {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt !== undefined) attempt.state.heardAt = now;
   }
 
   /** Records an event of an item that is not its first. */
-  itemSign(attemptNumber: number, now: number): void {
+  recordItemOutput(attemptNumber: number, now: number): void {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt !== undefined) attempt.state.itemHeardAt = now;
   }
 
   /** Records the first output of an attempt and updates the estimates of the runner's speed. */
-  first(attemptNumber: number, now: number): void {
+  recordFirstOutput(attemptNumber: number, now: number): void {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt === undefined || attempt.hasOutput) return;
     attempt.hasOutput = true;
@@ -372,17 +382,19 @@
     const elapsed = now - attempt.startedAt;
     if (!attempt.item) this.#countFirstSign(attempt.expected, elapsed);
     if (attempt.prefillMs === undefined)
-      state.typicalFirstOutputMs += (elapsed - state.typicalFirstOutputMs) * constants.learnPart;
+      state.typicalFirstOutputMs +=
+        (elapsed - state.typicalFirstOutputMs) * constants.speedSmoothingFactor;
     else if (!attempt.item)
       state.slowness +=
         (clamp(
-          ((elapsed + constants.firstLeast) / (attempt.expected + constants.firstLeast)) *
+          ((elapsed + constants.minFirstOutputMs) /
+            (attempt.expected + constants.minFirstOutputMs)) *
             state.slowness,
           0.5,
           4,
         ) -
           state.slowness) *
-        constants.learnPart;
+        constants.speedSmoothingFactor;
     if (attempt.shared !== undefined) this.#rememberPrefill(attempt.shared, state.card.id, now);
   }
 
@@ -399,13 +411,18 @@
     this.#prefilledAt.delete(shared.hash);
     this.#prefilledAt.set(shared.hash, runners);
     for (const oldest of this.#prefilledAt.keys()) {
-      if (this.#prefilledAt.size <= constants.partsMost) break;
+      if (this.#prefilledAt.size <= constants.maxRememberedPrefixes) break;
       this.#prefilledAt.delete(oldest);
     }
   }
 
   /** Records the end of an attempt; a runner that refused it or could not be reached is avoided with exponential back-off. */
-  end(attemptNumber: number, outcome: GoEnd, _retryAfter: number | undefined, now: number): void {
+  recordEnd(
+    attemptNumber: number,
+    outcome: AttemptOutcome,
+    _retryAfter: number | undefined,
+    now: number,
+  ): void {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt === undefined) return;
     this.#attempts.delete(attemptNumber);
@@ -418,12 +435,14 @@
     if (outcome === "done") state.troubles = 0;
     if (outcome !== "refused" && outcome !== "unsent" && outcome !== "broken") return;
     state.troubles = Math.min(state.troubles + 1, 6);
-    const baseDelay = outcome === "refused" ? constants.shyRefused : constants.shyBroken;
-    state.avoidedUntil = now + Math.min(baseDelay * 2 ** (state.troubles - 1), constants.shyMost);
+    const baseDelay =
+      outcome === "refused" ? constants.refusalBackoffMs : constants.failureBackoffMs;
+    state.avoidedUntil =
+      now + Math.min(baseDelay * 2 ** (state.troubles - 1), constants.maxRunnerBackoffMs);
   }
 
   /** Number of further items that this node may start on the runners of a pool: its part of the free slots. */
-  room(pool: string, now: number): number {
+  freeItemSlots(pool: string, now: number): number {
     this.#refresh(now);
     let free = 0;
     for (const state of this.#pools.get(pool) ?? [])
@@ -491,29 +510,34 @@
       seats += state.card.seats;
     }
     partition.longLoad +=
-      (partition.longCount - partition.longLoad) * Math.min(1, elapsed / constants.longSmooth);
+      (partition.longCount - partition.longLoad) * Math.min(1, elapsed / constants.longSmoothingMs);
     const current = Math.max(0, occupied - partition.longLoad * this.#nodes);
     partition.shortLoad +=
       (current - partition.shortLoad) *
       Math.min(
         1,
-        elapsed / (current > partition.shortLoad ? constants.levelUp : constants.levelDown),
+        elapsed / (current > partition.shortLoad ? constants.loadRiseMs : constants.loadFallMs),
       );
-    const maximum = states.length - Math.max(1, Math.ceil(states.length * constants.longPart));
-    if (states.length < constants.divideLeast || now - partition.lastLongAt > constants.longLasts)
+    const maximum =
+      states.length - Math.max(1, Math.ceil(states.length * constants.minLongFraction));
+    if (
+      states.length < constants.minPoolToDivide ||
+      now - partition.lastLongAt > constants.longMemoryMs
+    )
       partition.shortRunners = Number.POSITIVE_INFINITY;
     else {
-      const needed = partition.shortLoad / (seats / states.length) / constants.shortFill;
+      const needed =
+        partition.shortLoad / (seats / states.length) / constants.shortPromptSlotFraction;
       // Hysteresis: a change moves the homes of shared parts, and nodes may differ on it for a while.
       if (
-        needed > partition.shortRunners + constants.divideOver ||
-        needed < partition.shortRunners - constants.divideUnder ||
+        needed > partition.shortRunners + constants.maxShortRunnerDeficit ||
+        needed < partition.shortRunners - constants.maxShortRunnerSurplus ||
         partition.shortRunners > maximum
       )
         partition.shortRunners = Math.ceil(needed);
       partition.shortRunners = clamp(
         partition.shortRunners,
-        Math.ceil(states.length * constants.shortPart),
+        Math.ceil(states.length * constants.minShortFraction),
         maximum,
       );
     }
@@ -526,8 +550,8 @@
   #refresh(now: number): void {
     // With thousands of runners a refresh takes milliseconds, so the interval grows with the fleet.
     const interval = Math.min(
-      constants.lookMost,
-      constants.lookEvery * (1 + this.#runners.size / constants.lookRunners),
+      constants.maxRefreshIntervalMs,
+      constants.refreshIntervalMs * (1 + this.#runners.size / constants.refreshIntervalRunners),
     );
     if (now - this.#refreshedAt < interval && now >= this.#refreshedAt) return;
     this.#refreshedAt = now;
@@ -539,7 +563,7 @@
     const otherLoads = new Map<string, [live: number, items: number]>();
     let nodes = 0;
     for (const { card, age } of this.#fleet.registry.nodes) {
-      if (card.kind !== "access" || age > constants.sessionLasts) continue;
+      if (card.kind !== "access" || age > constants.sessionTimeoutMs) continue;
       if (!card.leaving) nodes += 1;
     }
     for (const [runner, live, items] of this.#fleet.registry.others ?? [])
@@ -550,15 +574,15 @@
       const key = incarnationKey(card.id, card.incarnation);
       const state: RunnerState = previous.get(key) ?? {
         card,
-        hash: hashOf(card.id),
-        connections: constants.connectionsUntold,
+        hash: hashText(card.id),
+        connections: constants.defaultRunnerConnections,
         live: 0,
         items: 0,
         othersLive: 0,
         othersItems: 0,
         reading: 0,
         servesLong: false,
-        typicalFirstOutputMs: constants.usualFirst,
+        typicalFirstOutputMs: constants.initialDurationMs,
         slowness: 1,
         heardAt: now,
         itemHeardAt: Number.NEGATIVE_INFINITY,
@@ -600,45 +624,47 @@
   return (
     state.live +
     state.othersLive +
-    (state.items + state.othersItems) * (item ? 1 : constants.itemWeight)
+    (state.items + state.othersItems) * (item ? 1 : constants.itemSlotWeight)
   );
 }
 
 /** Part of a runner's slots that items may fill: less at runners for short live requests, which would displace them. */
 function itemSlotPart(state: RunnerState, isPartitioned: boolean): number {
-  return isPartitioned && !state.servesLong ? constants.itemPartShort : constants.itemPart;
+  return isPartitioned && !state.servesLong
+    ? constants.itemSlotFractionOnShortRunners
+    : constants.itemSlotFraction;
 }
 
 /** Penalty in ms for sending a request to a runner that is set apart for the other kind. */
 function misplacementPenalty(state: RunnerState, prompt: Prompt): number {
-  if (prompt.item) return state.servesLong ? 0 : constants.itemAway;
+  if (prompt.item) return state.servesLong ? 0 : constants.itemElsewhereCostMs;
   if (prompt.isLong === state.servesLong) return 0;
-  return prompt.isLong ? constants.longAway : constants.shortAway;
+  return prompt.isLong ? constants.longPromptElsewhereCostMs : constants.shortPromptElsewhereCostMs;
 }
 
 function incarnationKey(runner: string, incarnation: number): string {
   return `${runner} ${incarnation}`;
 }
 
-function servesModel(card: RunnerCard, model: string | undefined): boolean {
+function servesModel(card: RunnerDescriptor, model: string | undefined): boolean {
   return model === undefined || card.models.length === 0 || card.models.includes(model);
 }
 
-function promptTokens(request: PassRequest): number | undefined {
+function promptTokens(request: PassageRequest): number | undefined {
   if (request.tokensIn !== undefined || request.parts.length === 0) return request.tokensIn;
   let size = 0;
   for (const part of request.parts) size += part.size;
   return size;
 }
 
-function sharedPartsOf(request: PassRequest): SharedParts | undefined {
+function sharedPartsOf(request: PassageRequest): SharedParts | undefined {
   const { parts } = request;
   if (parts.length < 2) return undefined;
   let size = 0;
   let hash = 0;
   for (let index = 0; index < parts.length - 1; index += 1) {
     size += parts[index]!.size;
-    hash = mixBits(hash ^ hashOf(parts[index]!.name));
+    hash = mixBits(hash ^ hashText(parts[index]!.name));
   }
   return { hash, size };
 }
@@ -678,7 +704,7 @@
 }
 
 /** A 32-bit hash of a text: FNV-1a with a final mix for an even distribution. */
-export function hashOf(text: string): number {
+export function hashText(text: string): number {
   let hash = 0x811c9dc5;
   for (let index = 0; index < text.length; index += 1)
     hash = Math.imul(hash ^ text.charCodeAt(index), 0x01000193);
--- a/packages/data/src/claim-heartbeats.ts
+++ b/packages/data/src/claim-heartbeats.ts
@@ -26,18 +26,18 @@
   }
 
   /** Records a heartbeat for an item of a lot of a route. */
-  heardItem({ lot, index, go }: Claim, now: number): void {
+  recordItemHeartbeat({ lot, index, go }: Claim, now: number): void {
     const key = `item/${lot}/${String(index).padStart(INDEX_DIGITS, "0")}`;
     this.#heartbeats.set(key, { go, at: now });
   }
 
   /** Records a heartbeat for an item of a lot of a passage. */
-  heardTask({ lot, index, go }: Claim, now: number): void {
+  recordTaskHeartbeat({ lot, index, go }: Claim, now: number): void {
     this.#heartbeats.set(taskKey(lot, index), { go, at: now, isTaken: true });
   }
 
   /** Records that a claim was reported to its dispatcher, which can start to work on it only now. */
-  toldTask({ lot, index, go }: Claim, now: number): void {
+  recordTaskReported({ lot, index, go }: Claim, now: number): void {
     this.#heartbeats.set(taskKey(lot, index), { go, at: now });
   }
 
@@ -48,7 +48,7 @@
       this.#heartbeats.set(key, { go, at: now });
       return true;
     }
-    return now - heartbeat.at <= constants.orphanAfter;
+    return now - heartbeat.at <= constants.orphanTimeoutMs;
   }
 
   /** Like `isAlive`, for an item of a passage, whose dispatcher has to start on it at once. */
@@ -62,12 +62,12 @@
     if (heartbeat.place !== undefined && confirmed < heartbeat.place)
       this.#heartbeats.set(key, { ...heartbeat, at: now });
     const timeoutMs =
-      heartbeat.isTaken === true ? constants.taskOrphanAfter : constants.claimTakenUp;
+      heartbeat.isTaken === true ? constants.itemOrphanTimeoutMs : constants.claimStartTimeoutMs;
     return now - heartbeat.at <= timeoutMs;
   }
 
   /** Removes the claims of items that are no longer in progress. */
-  forgetAllBut(...underWay: readonly { has(key: string): boolean }[]): void {
+  retainOnly(...underWay: readonly { has(key: string): boolean }[]): void {
     for (const key of this.#heartbeats.keys())
       if (!underWay.some((items) => items.has(key))) this.#heartbeats.delete(key);
   }
--- a/packages/data/src/control-calls.ts
+++ b/packages/data/src/control-calls.ts
@@ -60,7 +60,7 @@
   beat(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [ticket, call] of [...this.#calls]) {
-      if (now - call.since >= constants.confirmPatience) {
+      if (now - call.since >= constants.commitTimeoutMs) {
         this.#calls.delete(ticket);
         outputs.push(...call.onResult({ kind: "unknown" }));
       } else if (this.#isRetryDue(call, now))
@@ -71,7 +71,10 @@
 
   #isRetryDue(call: PendingControlCall, now: number): boolean {
     const isWithCurrentHead = call.sentTo !== undefined && call.sentTo === this.#membership.head;
-    return now - call.sentAt >= (isWithCurrentHead ? constants.grantLasts : constants.ownerRetry);
+    return (
+      now - call.sentAt >=
+      (isWithCurrentHead ? constants.grantDurationMs : constants.ownerRetryDelayMs)
+    );
   }
 
   #send(ticket: string, call: PendingControlCall, now: number): AccessOutput[] {
--- a/packages/data/src/dialect.ts
+++ b/packages/data/src/dialect.ts
@@ -13,7 +13,7 @@
 }
 
 /** A request on a passage, as parsed by the HTTP interface that received it. */
-export interface PassRequest {
+export interface PassageRequest {
   /** The caller's id of this attempt, forwarded to the runner unchanged. */
   readonly id: string;
   readonly method: string;
@@ -37,8 +37,8 @@
 }
 
 /** A request to be sent to a runner. */
-export interface PassWork {
-  readonly request: PassRequest;
+export interface PassageWork {
+  readonly request: PassageRequest;
   /** The runner incarnation that is addressed; any other one refuses the request. */
   readonly runner: string;
   /** Priority in the queue of the runner, from 0 (first) to 9 (last). */
@@ -59,7 +59,7 @@
 }
 
 /** The response head of a runner, as parsed by the protocol adapter. */
-export interface ResultHead {
+export interface ResponseHead {
   /** Id of the request that it answers; undefined if the header is missing. */
   readonly id: string | undefined;
   /** Whether it carries the stamp header of the runner; without it a success status does not count. */
@@ -73,17 +73,17 @@
 }
 
 /** Protocol adapter: maps requests to HTTP headers and response headers to a `ResultHead`. */
-export interface RunnerDialect {
+export interface RunnerProtocol {
   /** Returns alternating names and values of all headers of a request sent at `now` (ms, monotonic). */
-  headers(work: PassWork, now: number): string[];
+  headers(work: PassageWork, now: number): string[];
   read(
     status: number,
     headers: Readonly<Record<string, string | string[] | undefined>>,
-  ): ResultHead;
+  ): ResponseHead;
 }
 
 /** An event of one attempt, reported by the connections to runners. */
-export type PassEvent =
+export type PassageEvent =
   /** No byte was sent, so the request did not run. */
   | { readonly kind: "unsent"; readonly reason: string }
   /** The runner guarantees that it did not run the request. */
@@ -114,8 +114,8 @@
   | { readonly kind: "broken"; readonly reason: string };
 
 /** Connections to runners, kept alive and shared by all attempts of this process. */
-export interface PassLinks {
-  run(go: number, address: string, work: PassWork): void;
+export interface PassageConnections {
+  run(go: number, address: string, work: PassageWork): void;
   /** Closes the connection of an attempt whose caller left or that was given up, so that the runner cancels it. */
   abandon(go: number): void;
   /** Backpressure: stops reading from the runner until `resume`. */
--- a/packages/data/src/events.ts
+++ b/packages/data/src/events.ts
@@ -4,7 +4,7 @@
 const EMPTY_BUFFER = Buffer.alloc(0);
 
 /** A complete server-sent event. Keeps the bytes as received; the fields are parsed on access. */
-export class WholeEvent {
+export class ServerSentEvent {
   readonly kind = "event";
   readonly bytes: Uint8Array;
   #text: string | undefined;
@@ -54,24 +54,24 @@
 }
 
 /** Splits the chunks of a body into complete events and buffers the rest. */
-export class EventReader {
+export class EventStreamParser {
   #buffered: Buffer = EMPTY_BUFFER;
 
   /** Whether an incomplete event is buffered; blank lines alone do not count. */
-  get open(): boolean {
+  get hasIncompleteEvent(): boolean {
     for (const byte of this.#buffered)
       if (byte !== LINE_FEED && byte !== CARRIAGE_RETURN) return true;
     return false;
   }
 
   /** Adds a chunk and returns the events that are complete now. */
-  take(chunk: Buffer): WholeEvent[] {
-    const events: WholeEvent[] = [];
+  push(chunk: Buffer): ServerSentEvent[] {
+    const events: ServerSentEvent[] = [];
     let rest = this.#buffered.length === 0 ? chunk : Buffer.concat([this.#buffered, chunk]);
     for (;;) {
       const end = endOfFirstEvent(rest);
       if (end < 0) break;
-      events.push(new WholeEvent(rest.subarray(0, end)));
+      events.push(new ServerSentEvent(rest.subarray(0, end)));
       rest = rest.subarray(end);
     }
     this.#buffered = rest;
--- a/packages/data/src/feed-progress.ts
+++ b/packages/data/src/feed-progress.ts
@@ -17,12 +17,12 @@
 
   /** Records a message of a control machine at index `controlIndex` while this node is at `ownIndex`; `now` in ms, monotonic. */
   heard(controlIndex: number, ownIndex: number, now: number): void {
-    const hadLostContact = now - this.#lastHeartbeatAt > constants.nearLasts;
+    const hadLostContact = now - this.#lastHeartbeatAt > constants.quorumContactTimeoutMs;
     this.#lastHeartbeatAt = now;
     if (hadLostContact || (this.#awaited !== undefined && ownIndex >= this.#awaited.feedIndex))
       this.#awaited = undefined;
     if (ownIndex < controlIndex) this.#awaited ??= { feedIndex: controlIndex, since: now };
-    if (this.#awaited === undefined || now - this.#awaited.since <= constants.feedLagMost) return;
+    if (this.#awaited === undefined || now - this.#awaited.since <= constants.maxFeedLagMs) return;
     this.violations += 1;
     this.#awaited = { feedIndex: controlIndex, since: now };
   }
--- a/packages/data/src/heartbeat-interval.ts
+++ b/packages/data/src/heartbeat-interval.ts
@@ -7,6 +7,9 @@
  * three intervals.
  */
 export function heartbeatInterval(nodes: number): number {
-  const scaledInterval = (constants.sessionEvery * nodes) / constants.sessionNodes;
-  return Math.min(Math.max(scaledInterval, constants.sessionEvery), constants.sessionEveryMost);
+  const scaledInterval = (constants.heartbeatIntervalMs * nodes) / constants.heartbeatFleetSize;
+  return Math.min(
+    Math.max(scaledInterval, constants.heartbeatIntervalMs),
+    constants.maxHeartbeatIntervalMs,
+  );
 }
--- a/packages/data/src/item-endings.ts
+++ b/packages/data/src/item-endings.ts
@@ -58,7 +58,7 @@
       return this.#send(queue, endings, later);
     };
     const command = { kind: "settle", endings: withoutDeadlines(endings.sent) } as const;
-    const patience = constants.ownerPatience;
+    const patience = constants.ownerTimeoutMs;
     return this.#pendingCalls.ask({ queue, command, patience, onResult }, now);
   }
 }
--- a/packages/data/src/item-jobs.ts
+++ b/packages/data/src/item-jobs.ts
@@ -1,7 +1,7 @@
 /** Items of lots (batch jobs) on passages (configured routes), while an access node runs them (docs/design.md §13.7). */
 import type { Claim, PassEnding, PassTask, Tenancy } from "@chutewick/parts";
-import type { GoEnd } from "./choice.js";
-import type { PassRequest, PassWork } from "./dialect.js";
+import type { AttemptOutcome } from "./choice.js";
+import type { PassageRequest, PassageWork } from "./dialect.js";
 import { constants } from "@chutewick/parts";
 
 const HTTP_OK = 200;
@@ -12,7 +12,7 @@
 export interface ItemJob {
   readonly queue: string;
   readonly task: PassTask;
-  readonly request: PassRequest;
+  readonly request: PassageRequest;
   /** No attempt starts after this time: the lot may have been ended since the item was granted. */
   readonly grantedUntil: number;
   /** Time from which it may be given up. */
@@ -37,7 +37,7 @@
 
 /** How an attempt ended: `how` for the runner selection, `ending` for the owner of the queue. */
 export interface AttemptEnd {
-  readonly how: GoEnd;
+  readonly how: AttemptOutcome;
   readonly ending: PassEnding;
 }
 
@@ -63,7 +63,7 @@
   };
 }
 
-function requestOf({ entry, host, upTo }: PassTask): PassRequest {
+function requestOf({ entry, host, upTo }: PassTask): PassageRequest {
   return {
     id: entry.id,
     method: "POST",
@@ -92,7 +92,7 @@
   { request, expiresAt, lastEvent }: ItemJob,
   runner: string,
   tenancy: Tenancy | undefined,
-): PassWork {
+): PassageWork {
   return {
     request,
     runner,
--- a/packages/data/src/link.ts
+++ b/packages/data/src/link.ts
@@ -75,7 +75,7 @@
               : new Error(reason),
         );
       }
-      const connectTimeout = setTimeout(onTimeout, constants.connectPatience);
+      const connectTimeout = setTimeout(onTimeout, constants.connectTimeoutMs);
       socket.once("error", onError);
       socket.once("connect", onConnect);
     }
@@ -84,7 +84,7 @@
       pipelining: 1,
       headersTimeout: silenceMs,
       bodyTimeout: silenceMs,
-      maxResponseSize: work.kind === "stream" ? -1 : constants.resultMost,
+      maxResponseSize: work.kind === "stream" ? -1 : constants.maxResultBytes,
     });
     this.#clients.set(attempt, client);
     function emit(event: GoEvent): void {
--- a/packages/data/src/live-requests.ts
+++ b/packages/data/src/live-requests.ts
@@ -1,5 +1,5 @@
 /** Live requests on routes: the caller waits for the result, and several runners may be tried in turn (docs/design.md §6). */
-import { constants, type RunnerCard } from "@chutewick/parts";
+import { constants, type RunnerDescriptor } from "@chutewick/parts";
 import type { AccessCounts } from "./access-counts.js";
 import type { LiveRequest } from "./access-jobs.js";
 import type { AccessOutput, GoEvent } from "./access-output.js";
@@ -60,7 +60,7 @@
     if (!this.#admission.isOpen(now)) return this.#refuse(ticket, NO_NEW_WORK);
     const checked = checkLiveRequest(arrival, findRoute(value, routeName));
     if (checked.kind === "reply") return [checked];
-    if (this.#attemptOf.size >= constants.liveMost)
+    if (this.#attemptOf.size >= constants.maxLiveRequests)
       return this.#refuse(ticket, "this access node has as many inquiries under way as it takes");
     const request: LiveRequest = {
       kind: "live",
@@ -123,16 +123,21 @@
     if (runner === undefined) return this.#giveUp(request, now);
     request.triedRunners.add(runner.id);
     if (this.#attempts.load(runner, now) >= runner.seats) request.fullRunnersTried += 1;
-    const start = { job: request, runner, work: request.work, silence: constants.runnerSilence };
+    const start = {
+      job: request,
+      runner,
+      work: request.work,
+      silence: constants.runnerSilenceTimeoutMs,
+    };
     const run = this.#attempts.start(start, now);
     this.#attemptOf.set(request.ticket, run.go);
     return [run];
   }
 
   /** Chooses a runner that was not tried yet; undefined where none is left. */
-  #nextRunner(request: LiveRequest, now: number): RunnerCard | undefined {
+  #nextRunner(request: LiveRequest, now: number): RunnerDescriptor | undefined {
     const { route, triedRunners, fullRunnersTried } = request;
-    if (triedRunners.size >= constants.runnersTried) return undefined;
+    if (triedRunners.size >= constants.maxRunnersTried) return undefined;
     return this.#selection.choose(
       {
         kind: request.work.kind === "fetch" ? "plain" : "model",
@@ -140,7 +145,7 @@
         adapter: route.adapter,
         labels: route.runners,
         tried: triedRunners,
-        seatPart: ALL_SLOTS,
+        slotFraction: ALL_SLOTS,
         fullRunnersTried,
       },
       now,
--- a/packages/data/src/lot-replies.ts
+++ b/packages/data/src/lot-replies.ts
@@ -126,6 +126,6 @@
     });
   if (outcome.value.kind !== "CANCELLED") return unknownLotReply(ticket);
   const { stopped } = outcome.value;
-  const body = { lot, stopped, newItemsWithin: constants.grantLasts / 1_000 };
+  const body = { lot, stopped, newItemsWithin: constants.grantDurationMs / 1_000 };
   return { kind: "reply", ticket, status: 200, body };
 }
--- a/packages/data/src/lot-requests.ts
+++ b/packages/data/src/lot-requests.ts
@@ -70,7 +70,7 @@
       this.#submissionReply(ticket, lot, outcome, later - askedAt),
     ];
     const { queue, command } = lot;
-    const call = { queue, command, patience: constants.ownerPatience, onResult };
+    const call = { queue, command, patience: constants.ownerTimeoutMs, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
@@ -131,7 +131,7 @@
     const queue = queueOfLot(lot);
     if (queue === undefined || !this.#isKnown(queue)) return [this.#noSuchQueue(ticket, now)];
     const onResult = (outcome: QueueOutcome): AccessOutput[] => [replyTo(outcome)];
-    const call = { queue, command, patience: constants.ownerPatience, onResult };
+    const call = { queue, command, patience: constants.ownerTimeoutMs, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
--- a/packages/data/src/lot-search.ts
+++ b/packages/data/src/lot-search.ts
@@ -3,7 +3,7 @@
 import { configuration, keys } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
 import type { Membership } from "./membership.js";
-import type { LotTold } from "./pass.js";
+import type { LotReply } from "./pass.js";
 import type { PendingCalls } from "./pending-calls.js";
 import type { QueueOutcome } from "./queue-messages.js";
 
@@ -43,7 +43,7 @@
   remember(lot: string, queue: string): void {
     this.#queueByLot.delete(lot);
     this.#queueByLot.set(lot, queue);
-    if (this.#queueByLot.size <= constants.lotsRemembered) return;
+    if (this.#queueByLot.size <= constants.maxRememberedLots) return;
     for (const oldest of this.#queueByLot.keys()) {
       this.#queueByLot.delete(oldest);
       break;
@@ -78,7 +78,7 @@
 
   #queryOwner(queue: string, progress: LookupProgress, now: number): AccessOutput[] {
     const { command, hold } = progress.lookup;
-    const patience = constants.readPatience + hold;
+    const patience = constants.readTimeoutMs + hold;
     const onResult = (outcome: QueueOutcome, later: number): AccessOutput[] =>
       this.#handleAnswer(queue, progress, outcome, later);
     return this.#pendingCalls.ask({ queue, command, patience, hold, onResult }, now);
@@ -120,6 +120,6 @@
 }
 
 /** Builds the reply to a caller of a lot operation. */
-export function lotReply(ticket: string, reply: LotTold): AccessOutput {
+export function lotReply(ticket: string, reply: LotReply): AccessOutput {
   return { kind: "lot-told", ticket, told: reply };
 }
