--- a/packages/data/src/lot-submission.ts
+++ b/packages/data/src/lot-submission.ts
@@ -58,10 +58,10 @@
     return badBodyReply(ticket, "key: must be a text of 1 to 200 characters of the caller's own");
   if (!Array.isArray(items) || items.length === 0)
     return badBodyReply(ticket, "items: must be a list with at least one prompt");
-  if (items.length > constants.lotItemsMost)
+  if (items.length > constants.maxLotItems)
     return errorReply(ticket, 413, {
       trouble: "lot-too-large",
-      reason: `items: ${constants.lotItemsMost} at most`,
+      reason: `items: ${constants.maxLotItems} at most`,
     });
   const checkedLabels = configuration.labelsOf(labels ?? {});
   if (checkedLabels === undefined)
@@ -80,7 +80,9 @@
   const queue = configuration.queueOf(route.model!, route.adapter);
   const lot = lotName(queue, routeName, key);
   const lasts =
-    route.deadlineSeconds === undefined ? constants.lotDeadline : route.deadlineSeconds * 1_000;
+    route.deadlineSeconds === undefined
+      ? constants.defaultLotDeadlineMs
+      : route.deadlineSeconds * 1_000;
   const command: QueueCommand = {
     kind: "admit",
     lot,
--- a/packages/data/src/membership.ts
+++ b/packages/data/src/membership.ts
@@ -3,18 +3,18 @@
   Follower,
   Lease,
   constants,
-  heldFor,
-  giveBack,
+  holderDurationMs,
+  echoStamp,
   holdersOf,
-  isNewerWord,
+  isNewerReport,
   policy,
   type Policy,
   type PeerMessage,
-  type NodeCard,
+  type NodeDescriptor,
   type RunnerRegistry,
-  type RunnerCard,
-  type Stamp,
-  type Telling,
+  type RunnerDescriptor,
+  type ClockStamp,
+  type NodeReport,
 } from "@chutewick/parts";
 import {
   configurationIn,
@@ -89,7 +89,7 @@
   /** Requests for permits sent to peers. */
   readonly #sentPermitRequests = new RecentAsks();
   /** Newest report of each runner that did not come with the registry of control. */
-  #reportedRunners = new Map<string, { card: RunnerCard; heardAt: number }>();
+  #reportedRunners = new Map<string, { card: RunnerDescriptor; heardAt: number }>();
   #permitRequestedAt = Number.NEGATIVE_INFINITY;
   #promisingPeers = new Set<string>();
   #permitUntil = Number.NEGATIVE_INFINITY;
@@ -103,21 +103,21 @@
   #isLeaving = false;
   #heartbeatSentAt = Number.NEGATIVE_INFINITY;
   /** The last clock stamp of each control machine, and when it came. */
-  #stamps = new Map<string, { stamp: Stamp; at: number }>();
-  #createReport: () => Telling;
+  #stamps = new Map<string, { stamp: ClockStamp; at: number }>();
+  #createReport: () => NodeReport;
   #policy: Policy;
 
   constructor(
     node: Standing,
     seeds: readonly string[],
     now: number,
-    createReport: () => Telling,
-    deploymentPolicy: Policy = policy.usual,
+    createReport: () => NodeReport,
+    deploymentPolicy: Policy = policy.defaults,
   ) {
     this.#policy = deploymentPolicy;
     this.#promisedUntil = deploymentPolicy.goesOnAlone
       ? Number.NEGATIVE_INFINITY
-      : now + constants.permitLasts;
+      : now + constants.permitDurationMs;
     this.#node = node;
     this.#seeds = seeds;
     this.#controls = new Set(seeds);
@@ -169,7 +169,7 @@
   holds(now: number): boolean {
     return (
       this.follower.place > 0 &&
-      (this.#lease.holds(now, this.follower.place) || now < this.#permitUntil)
+      (this.#lease.isValid(now, this.follower.place) || now < this.#permitUntil)
     );
   }
 
@@ -191,7 +191,7 @@
   /** What entitles the node to accept new work now. */
   ground(now: number): WorkGround {
     if (!this.holds(now)) return "none";
-    return this.#lease.holds(now, this.follower.place) ? "lease" : "permit";
+    return this.#lease.isValid(now, this.follower.place) ? "lease" : "permit";
   }
 
   /**
@@ -214,7 +214,10 @@
     let answered = 0;
     const granters = holdersOf(view);
     for (const { identity } of granters)
-      if (now - (this.#answeredAt.get(identity) ?? Number.NEGATIVE_INFINITY) <= constants.nearLasts)
+      if (
+        now - (this.#answeredAt.get(identity) ?? Number.NEGATIVE_INFINITY) <=
+        constants.quorumContactTimeoutMs
+      )
         answered += 1;
     return answered > granters.length / 2;
   }
@@ -228,7 +231,7 @@
   peer(message: PeerMessage, from: string, now: number): Send[] {
     if (message.kind === "fellow-ask") {
       const promises = !this.#policy.goesOnAlone && this.#hadLease && !this.isNear(now);
-      if (promises) this.#promisedUntil = now + constants.permitLasts;
+      if (promises) this.#promisedUntil = now + constants.permitDurationMs;
       return [
         {
           kind: "send",
@@ -258,7 +261,7 @@
     if (this.#isPromisedByMajority)
       this.#permitUntil = Math.max(
         this.#permitUntil,
-        this.#permitRequestedAt + heldFor(constants.permitLasts),
+        this.#permitRequestedAt + holderDurationMs(constants.permitDurationMs),
       );
     return [];
   }
@@ -300,12 +303,12 @@
       this.isNear(now) ||
       !this.#hadLease ||
       !peers.includes(this.address) ||
-      now - this.#permitRequestedAt < constants.sessionEvery
+      now - this.#permitRequestedAt < constants.heartbeatIntervalMs
     )
       return [];
     this.#permitRequestedAt = now;
     this.#sentPermitRequests.asked(now);
-    this.#promisedUntil = now + constants.permitLasts;
+    this.#promisedUntil = now + constants.permitDurationMs;
     this.#promisingPeers = new Set([this.address]);
     const sends: Send[] = [];
     for (const to of peers)
@@ -320,7 +323,7 @@
 
   /** Remaining duration of the lease in ms. */
   leaseLeft(now: number): number {
-    return Math.max(0, this.#lease.until(this.follower.place) - now);
+    return Math.max(0, this.#lease.expiresAt(this.follower.place) - now);
   }
 
   /** Whether an incarnation of a runner is deregistered. A deregistration includes all earlier incarnations, which may have the same address (docs/design.md §7.5). */
@@ -340,9 +343,9 @@
   }
 
   /** Records a report of a runner that did not come with the registry of control. */
-  heardRunner(card: RunnerCard, heardAt: number): void {
+  heardRunner(card: RunnerDescriptor, heardAt: number): void {
     const held = this.#reportedRunners.get(card.id);
-    if (held === undefined || isNewerWord(card, heardAt, held.card, held.heardAt))
+    if (held === undefined || isNewerReport(card, heardAt, held.card, held.heardAt))
       this.#reportedRunners.set(card.id, { card, heardAt });
   }
 
@@ -358,19 +361,19 @@
   }
 
   /** The newest report of a runner, from control or another source; `heardAt` in ms, monotonic. */
-  #newestReport(runner: string, now: number): (RunnerCard & { heardAt: number }) | undefined {
+  #newestReport(runner: string, now: number): (RunnerDescriptor & { heardAt: number }) | undefined {
     const card = this.#registry.runners.find(({ id }) => id === runner);
     const listed = card && { ...card, heardAt: this.#registryRequestedAt - card.age };
     const report = this.#reportedRunners.get(runner);
     if (report === undefined || now - report.heardAt > this.#runnerRetentionMs) return listed;
-    if (listed !== undefined && !isNewerWord(report.card, report.heardAt, listed, listed.heardAt))
+    if (listed !== undefined && !isNewerReport(report.card, report.heardAt, listed, listed.heardAt))
       return listed;
     return { ...report.card, heardAt: report.heardAt };
   }
 
   /** Age in ms above which a report of a runner is discarded. */
   get #runnerRetentionMs(): number {
-    return this.#policy.runnerLasts * constants.aloneTimes;
+    return this.#policy.runnerLasts * constants.isolatedRunnerRetentionFactor;
   }
 
   /**
@@ -383,16 +386,16 @@
   }
 
   /** The runners with a recent report that are not deregistered, each with its newest report. */
-  runners(now: number): RunnerCard[] {
-    const found: RunnerCard[] = [];
-    const known = new Map<string, RunnerCard>();
+  runners(now: number): RunnerDescriptor[] {
+    const found: RunnerDescriptor[] = [];
+    const known = new Map<string, RunnerDescriptor>();
     for (const card of this.#registry.runners)
       known.set(card.id, { ...card, age: card.age + now - this.#registryRequestedAt });
     for (const { card, heardAt } of this.#reportedRunners.values()) {
       const held = known.get(card.id);
       const age = now - heardAt;
       if (age > this.#runnerRetentionMs) this.#reportedRunners.delete(card.id);
-      if (held === undefined || isNewerWord(card, heardAt, held, now - held.age))
+      if (held === undefined || isNewerReport(card, heardAt, held, now - held.age))
         known.set(card.id, { ...card, age });
     }
     const timeoutMs = this.#runnerTimeoutMs(now);
@@ -402,10 +405,10 @@
   }
 
   /** The nodes of a kind that are in session and not leaving. */
-  live(kind: NodeCard["kind"]): NodeCard[] {
-    const live: NodeCard[] = [];
+  live(kind: NodeDescriptor["kind"]): NodeDescriptor[] {
+    const live: NodeDescriptor[] = [];
     for (const { card, age } of this.#registry.nodes)
-      if (card.kind === kind && !card.leaving && age <= constants.sessionLasts) live.push(card);
+      if (card.kind === kind && !card.leaving && age <= constants.sessionTimeoutMs) live.push(card);
     return live;
   }
 
@@ -434,8 +437,8 @@
     // An answer to an earlier incarnation of this process, or one that comes too late, grants nothing.
     if (!isUnspecified && !this.#sentHeartbeats.includes(answered)) return;
     this.#recordAnswer(identity, isUnspecified ? now : answered);
-    this.#lease.granted(identity, view, message.askedAt, place);
-    this.#hadLease ||= this.#lease.holds(now, this.follower.place);
+    this.#lease.addGrant(identity, view, message.askedAt, place);
+    this.#hadLease ||= this.#lease.isValid(now, this.follower.place);
     if (stamp !== undefined) this.#stamps.set(from, { stamp, at: now });
     // Ages in the registry count from the request: it was sent later, but this node or the message may have been delayed since.
     if (roll.nodes.length === 0 || message.askedAt < this.#registryRequestedAt) return;
@@ -462,13 +465,13 @@
    * started, or was cut off, does not know all of them. They are kept until their last report is too old.
    */
   #mergeRegistry(registry: RunnerRegistry, sentAt: number): RunnerRegistry {
-    const runners = new Map<string, RunnerCard>();
+    const runners = new Map<string, RunnerDescriptor>();
     for (const card of registry.runners) runners.set(card.id, card);
     for (const card of this.#registry.runners) {
       const aged = { ...card, age: card.age + sentAt - this.#registryRequestedAt };
       if (aged.age > this.#runnerRetentionMs) continue;
       const newer = runners.get(card.id);
-      if (newer === undefined || isNewerWord(aged, sentAt - aged.age, newer, sentAt - newer.age))
+      if (newer === undefined || isNewerReport(aged, sentAt - aged.age, newer, sentAt - newer.age))
         runners.set(card.id, aged);
     }
     return { ...registry, runners: [...runners.values()] };
@@ -478,7 +481,7 @@
   tell(now: number): Send[] {
     this.#heartbeatSentAt = now;
     this.#sentHeartbeats.asked(now);
-    const card: NodeCard = {
+    const card: NodeDescriptor = {
       ...this.#node,
       place: this.follower.place,
       free: now >= this.#promisedUntil,
@@ -494,7 +497,7 @@
           kind: "session",
           card,
           askedAt: now,
-          back: giveBack(this.#stamps.get(to), now),
+          back: echoStamp(this.#stamps.get(to), now),
           ...(this.#registry.nodes.length > 0 ? { rolled: now - this.#registryRequestedAt } : {}),
         },
       });
--- a/packages/data/src/own-dialect.ts
+++ b/packages/data/src/own-dialect.ts
@@ -1,4 +1,4 @@
-import type { PassWork, ResultHead, RunnerDialect } from "./dialect.js";
+import type { PassageWork, ResponseHead, RunnerProtocol } from "./dialect.js";
 
 /** Header names of the native runner protocol of passages (docs/design.md §13.2). */
 const headerNames = {
@@ -21,7 +21,7 @@
   headerNames.tenant,
 ]);
 
-function headers(work: PassWork, now: number): string[] {
+function headers(work: PassageWork, now: number): string[] {
   const outgoing = [
     headerNames.inquiry,
     work.request.id,
@@ -46,7 +46,7 @@
 function read(
   _status: number,
   received: Readonly<Record<string, string | string[] | undefined>>,
-): ResultHead {
+): ResponseHead {
   const retryAfter = Number(received["retry-after"]);
   return {
     id: firstValue(received[headerNames.inquiry]),
@@ -62,4 +62,4 @@
 }
 
 /** Protocol adapter for the runners of chutewick itself. */
-export const ownDialect: RunnerDialect = { headers, read };
+export const nativeProtocol: RunnerProtocol = { headers, read };
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -4,7 +4,7 @@
  */
 import {
   constants,
-  heldFor,
+  holderDurationMs,
   type ChainView,
   type Claim,
   type PassEnding,
@@ -12,9 +12,9 @@
 } from "@chutewick/parts";
 import { configuration, keys, type Passage } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
-import type { Choice, Chosen, GoEnd } from "./choice.js";
+import type { RunnerBalancer, ChosenRunner, AttemptOutcome } from "./choice.js";
 import { groupByQueue, type QueueClaim } from "./claims-by-queue.js";
-import type { PassEvent } from "./dialect.js";
+import type { PassageEvent } from "./dialect.js";
 import { ItemEndings } from "./item-endings.js";
 import {
   brokenEnd,
@@ -63,9 +63,9 @@
 }
 
 /** The dispatcher of one access node, for all queues with lots of passages. */
-export class PassDraw {
+export class ItemDispatcher {
   #membership: Membership;
-  #choice: Choice;
+  #choice: RunnerBalancer;
   #pendingCalls: PendingCalls;
   #endings: ItemEndings;
   #queues = new Map<string, QueueState>();
@@ -79,14 +79,14 @@
   #sleepDetector = new SleepDetector(Number.POSITIVE_INFINITY);
   readonly counts = { drawn: 0, solved: 0, never: 0, troubled: 0, broken: 0, givenBack: 0 };
 
-  constructor(membership: Membership, choice: Choice, pendingCalls: PendingCalls) {
+  constructor(membership: Membership, choice: RunnerBalancer, pendingCalls: PendingCalls) {
     this.#membership = membership;
     this.#choice = choice;
     this.#pendingCalls = pendingCalls;
     this.#endings = new ItemEndings(pendingCalls);
   }
 
-  get underWay(): number {
+  get runningCount(): number {
     return this.#attempts.size;
   }
 
@@ -130,16 +130,16 @@
   }
 
   /** Periodic work: aborts stalled attempts, sends heartbeats and dequeues further items. */
-  beat(now: number): AccessOutput[] {
+  tick(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     this.#sleepDetector.observe(now);
     for (const [number, attempt] of [...this.#attempts]) {
       const { lastProgressAt, expiresAt } = attempt.job;
-      const isOverdue = now - lastProgressAt > constants.promptSilence || now >= expiresAt;
+      const isOverdue = now - lastProgressAt > constants.promptSilenceTimeoutMs || now >= expiresAt;
       if (isOverdue || this.#isStalled(number, attempt, now))
         outputs.push(...this.#abandon(number, attempt, now));
     }
-    if (now - this.#heartbeatAt >= constants.taskLifeEvery) {
+    if (now - this.#heartbeatAt >= constants.itemHeartbeatIntervalMs) {
       this.#heartbeatAt = now;
       outputs.push(...this.#heartbeats());
     }
@@ -151,8 +151,12 @@
   #isStalled(number: number, { job }: ItemAttempt, now: number): boolean {
     const silence = now - job.lastProgressAt;
     // After this process was suspended, received events may still be unread.
-    const isAwake = this.#sleepDetector.awakeFor(now) > constants.rescueAfter;
-    return isAwake && silence > constants.itemStalledAfter && this.#choice.isDark(number, now);
+    const isAwake = this.#sleepDetector.awakeFor(now) > constants.rescueDelayMs;
+    return (
+      isAwake &&
+      silence > constants.itemStallTimeoutMs &&
+      this.#choice.isRunnerUnresponsive(number, now)
+    );
   }
 
   /** A pool that serves several passages counts once. */
@@ -164,7 +168,7 @@
       if (passage.kind !== "lot") continue;
       let hasRoom = false;
       for (const pool of configuration.poolsOf(passage)) {
-        const poolRoom = roomByPool.get(pool) ?? this.#choice.room(pool, now);
+        const poolRoom = roomByPool.get(pool) ?? this.#choice.freeItemSlots(pool, now);
         roomByPool.set(pool, poolRoom);
         hasRoom ||= poolRoom >= 1;
       }
@@ -210,12 +214,12 @@
       kind: "draw",
       holder: this.#membership.address,
       by: this.#membership.identity,
-      most: Math.min(room, constants.drawMost),
+      most: Math.min(room, constants.maxItemsPerDraw),
       able,
     } as const;
     // Longer than a grant is valid: an item granted too late to start still has to be returned.
-    const patience = constants.orphanAfter;
-    const call = { queue: state.queue, command, patience, hold: constants.drawHold, onResult };
+    const patience = constants.orphanTimeoutMs;
+    const call = { queue: state.queue, command, patience, hold: constants.drawHoldMs, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
@@ -227,12 +231,12 @@
   ): AccessOutput[] {
     const { queue } = state;
     if (outcome.kind !== "confirmed" || outcome.value.kind !== "DRAWN") {
-      state.resumeAt = now + constants.emptyPause;
+      state.resumeAt = now + constants.emptyQueuePauseMs;
       return [];
     }
     const { tasks, more, wait } = outcome.value;
     // No pause after EMPTY: the owner has already held the request while the queue was empty.
-    if (more === "RATE_LIMITED") state.resumeAt = now + (wait ?? constants.pauseMost);
+    if (more === "RATE_LIMITED") state.resumeAt = now + (wait ?? constants.maxDispatcherPauseMs);
     const outputs: AccessOutput[] = [];
     const claims: Claim[] = [];
     for (const task of tasks) {
@@ -247,7 +251,7 @@
     this.counts.drawn += 1;
     const { cancelWithin } = this.#membership.policy;
     const times = {
-      grantedUntil: askedAt + heldFor(Math.min(constants.grantLasts, cancelWithin)),
+      grantedUntil: askedAt + holderDurationMs(Math.min(constants.grantDurationMs, cancelWithin)),
       expiresAt: askedAt + task.remaining,
     };
     return this.#tryNextRunner(createItemJob(queue, task, times, now), now);
@@ -265,32 +269,32 @@
       if (chosen !== undefined) return [this.#startAttempt(job, pool, chosen, now)];
     }
     const state = this.#stateOf(job.queue);
-    state.resumeAt = Math.max(state.resumeAt, now + constants.emptyPause);
+    state.resumeAt = Math.max(state.resumeAt, now + constants.emptyQueuePauseMs);
     return this.#settle(job, { kind: "unsent" }, now);
   }
 
   #mayTry({ grantedUntil, triedRunners, task }: ItemJob, now: number): boolean {
     return (
       now <= grantedUntil &&
-      triedRunners.size < constants.runnersTried &&
+      triedRunners.size < constants.maxRunnersTried &&
       !this.#isStopping &&
       !this.#endedLots.has(task.lot)
     );
   }
 
-  #startAttempt(job: ItemJob, pool: string, chosen: Chosen, now: number): AccessOutput {
+  #startAttempt(job: ItemJob, pool: string, chosen: ChosenRunner, now: number): AccessOutput {
     const { runner, incarnation, address } = chosen;
     job.triedRunners.add(runner);
-    const number = this.#choice.nextGo();
+    const number = this.#choice.nextAttemptNumber();
     this.#attempts.set(number, { job, pool, runner, incarnation, status: undefined });
-    this.#choice.begin(number, runner, job.request, true, now);
+    this.#choice.recordStart(number, runner, job.request, true, now);
     const hasTenants = this.#membership.configuration.value.tenants !== undefined;
     const work = itemWork(job, runner, itemTenancy(job.task, hasTenants));
     return { kind: "pass-run", go: number, address, work };
   }
 
   /** Handles an event from the connection to a runner. */
-  goEvent(number: number, event: PassEvent, now: number): AccessOutput[] {
+  handleAttemptEvent(number: number, event: PassageEvent, now: number): AccessOutput[] {
     const attempt = this.#attempts.get(number);
     if (attempt === undefined) return [];
     attempt.job.lastProgressAt = now;
@@ -321,14 +325,14 @@
   #onEvent(
     number: number,
     attempt: ItemAttempt,
-    event: Extract<PassEvent, { kind: "event" }>,
+    event: Extract<PassageEvent, { kind: "event" }>,
     now: number,
   ): AccessOutput[] {
     const { job } = attempt;
     const isNext = job.lastEvent === undefined || event.number === job.lastEvent + 1;
     if (event.number === undefined || !isNext) return this.#abandon(number, attempt, now);
-    if (job.eventData.length === 0) this.#choice.first(number, now);
-    else this.#choice.itemSign(number, now);
+    if (job.eventData.length === 0) this.#choice.recordFirstOutput(number, now);
+    else this.#choice.recordItemOutput(number, now);
     job.eventData.push(event.data);
     job.lastEvent = event.number;
     return [];
@@ -347,9 +351,14 @@
   }
 
   /** Removes a finished attempt. retryAfter: in s, if the runner sent one. */
-  #removeAttempt(number: number, how: GoEnd, retryAfter: number | undefined, now: number): void {
+  #removeAttempt(
+    number: number,
+    how: AttemptOutcome,
+    retryAfter: number | undefined,
+    now: number,
+  ): void {
     this.#attempts.delete(number);
-    this.#choice.end(number, how, retryAfter, now);
+    this.#choice.recordEnd(number, how, retryAfter, now);
   }
 
   #settle(job: ItemJob, ending: PassEnding, now: number): AccessOutput[] {
@@ -363,7 +372,7 @@
   }
 
   /** The lot was ended: aborts its attempts and starts no more of its items. */
-  ended(lot: string, now: number): AccessOutput[] {
+  dropLot(lot: string, now: number): AccessOutput[] {
     this.#rememberEnded(lot);
     const outputs: AccessOutput[] = [];
     for (const [number, { job }] of [...this.#attempts]) {
@@ -376,7 +385,7 @@
 
   #rememberEnded(lot: string): void {
     this.#endedLots.add(lot);
-    if (this.#endedLots.size <= constants.lotsRemembered) return;
+    if (this.#endedLots.size <= constants.maxRememberedLots) return;
     for (const oldest of this.#endedLots) {
       this.#endedLots.delete(oldest);
       break;
@@ -405,7 +414,7 @@
 
 /** Whether a request is pending; one that the owner didn't answer in time is abandoned and sent again. */
 function isRequestPending({ askedAt }: QueueState, now: number): boolean {
-  return askedAt !== undefined && now - askedAt < constants.grantLasts + constants.drawHold;
+  return askedAt !== undefined && now - askedAt < constants.grantDurationMs + constants.drawHoldMs;
 }
 
 /** Pools of a passage in weighted random order; pools of weight 0 are left out. */
--- a/packages/data/src/pass-link.ts
+++ b/packages/data/src/pass-link.ts
@@ -2,8 +2,8 @@
 import { connect as connectSocket, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { Client, type Dispatcher } from "undici";
-import type { PassEvent, PassLinks, PassWork, RunnerDialect } from "./dialect.js";
-import { EventReader } from "./events.js";
+import type { PassageEvent, PassageConnections, PassageWork, RunnerProtocol } from "./dialect.js";
+import { EventStreamParser } from "./events.js";
 
 /** Hop-by-hop headers, which are not forwarded. */
 const hopByHopHeaders = new Set([
@@ -20,11 +20,11 @@
 
 /** Options of the connections to runners. */
 export interface PassOptions {
-  readonly dialect: RunnerDialect;
+  readonly dialect: RunnerProtocol;
   /** Checks an attempt right before its first byte is sent. @returns why it must not be sent; undefined where it may be */
   readonly mayStart: (attempt: number) => string | undefined;
   /** Called with each event of an attempt. */
-  readonly told: (attempt: number, event: PassEvent) => void;
+  readonly told: (attempt: number, event: PassageEvent) => void;
   /** Maximum number of connections of this node to the runner at an address. */
   readonly share: (address: string) => number;
   /** Monotonic clock, in ms. */
@@ -54,7 +54,7 @@
 }
 
 /** Connections to runners. They are kept alive, and each result is checked to belong to the request that it answers (docs/design.md §13.6). */
-export class PassConnections implements PassLinks {
+export class PassConnections implements PassageConnections {
   #options: PassOptions;
   #hosts = new Map<string, Host>();
   #runs = new Map<number, Run>();
@@ -64,7 +64,7 @@
     this.#options = options;
   }
 
-  run(attempt: number, address: string, work: PassWork): void {
+  run(attempt: number, address: string, work: PassageWork): void {
     const run = new Run(this, attempt, address, work);
     this.#runs.set(attempt, run);
     this.#assignConnection(run);
@@ -100,7 +100,7 @@
       if (host.open === 0 && host.waiting.length === 0) this.#hosts.delete(address);
     }
     for (const [attempt, run] of this.#runs) {
-      if (now <= run.work.until + constants.overdueGrace) continue;
+      if (now <= run.work.until + constants.overdueGraceMs) continue;
       if (run.connection !== undefined) this.#reset(run.connection);
       else this.finish(run, { kind: "unsent", reason: "no connection was free in time" });
       this.#runs.delete(attempt);
@@ -183,7 +183,7 @@
       connection.usedAt = self.#options.now();
       self.#start(connection, run);
     }
-    const connectTimer = setTimeout(onTimeout, constants.passPatience);
+    const connectTimer = setTimeout(onTimeout, constants.passConnectTimeoutMs);
     socket.on("error", onError);
     socket.once("close", onClose);
     socket.once("connect", onConnect);
@@ -228,7 +228,8 @@
     run.startedAt = this.#options.now();
     const { request } = run.work;
     connection.requestIds.push(request.id);
-    if (connection.requestIds.length > constants.idsOfConnection) connection.requestIds.shift();
+    if (connection.requestIds.length > constants.maxConnectionRequestIds)
+      connection.requestIds.shift();
     const method = request.method;
     try {
       connection.client!.dispatch(
@@ -251,7 +252,7 @@
    */
   mayWrite(run: Run): string | undefined {
     if (run.isFinished) return "it is not wanted any more";
-    if (this.#options.now() - run.startedAt > constants.sendWithin)
+    if (this.#options.now() - run.startedAt > constants.maxSendDelayMs)
       return "this process stood still before the first byte";
     return this.#options.mayStart(run.go);
   }
@@ -353,12 +354,13 @@
       String(found["transfer-encoding"] ?? "").toLowerCase() !== "chunked"
     )
       return this.fail(run, "the end of the result could not be known");
-    run.reader = run.work.events && status >= 200 && status < 300 ? new EventReader() : undefined;
+    run.reader =
+      run.work.events && status >= 200 && status < 300 ? new EventStreamParser() : undefined;
     this.#options.told(run.go, { kind: "head", status, headers, stamped: head.stamped });
   }
 
   /** Reports an event of a run, unless the run is finished or its rest is ignored. */
-  emit(run: Run, event: PassEvent): void {
+  emit(run: Run, event: PassageEvent): void {
     if (!run.isFinished && !run.ignoresRest) this.#options.told(run.go, event);
   }
 
@@ -372,7 +374,7 @@
       self.#release(connection);
     }
     setImmediate(release);
-    if (run.reader?.open !== true) return this.finish(run, { kind: "end" });
+    if (run.reader?.hasIncompleteEvent !== true) return this.finish(run, { kind: "end" });
     connection.maxIdleMs = 0;
     this.finish(run, { kind: "broken", reason: "the stream ended within an event" });
   }
@@ -385,7 +387,7 @@
   }
 
   /** Ends a run with its last event. */
-  finish(run: Run, event: PassEvent): void {
+  finish(run: Run, event: PassageEvent): void {
     if (this.#runs.get(run.go) === run) this.#runs.delete(run.go);
     if (run.isFinished) return;
     run.isFinished = true;
@@ -398,9 +400,9 @@
   /** Number of the attempt. */
   readonly go: number;
   readonly address: string;
-  readonly work: PassWork;
+  readonly work: PassageWork;
   connection: Connection | undefined;
-  reader: EventReader | undefined;
+  reader: EventStreamParser | undefined;
   /** Whether it was abandoned or its last event was reported. */
   isFinished = false;
   /** Whether the runner refused it, so that the rest of the response is read and discarded. */
@@ -413,7 +415,7 @@
   #resumeReading: (() => void) | undefined;
   #isHeld = false;
 
-  constructor(connections: PassConnections, attempt: number, address: string, work: PassWork) {
+  constructor(connections: PassConnections, attempt: number, address: string, work: PassageWork) {
     this.#connections = connections;
     this.go = attempt;
     this.address = address;
@@ -471,7 +473,7 @@
   onData(chunk: Buffer): boolean {
     if (this.isFinished || this.ignoresRest) return true;
     if (this.reader === undefined) this.#connections.emit(this, { kind: "data", bytes: chunk });
-    else for (const event of this.reader.take(chunk)) this.#connections.emit(this, event);
+    else for (const event of this.reader.push(chunk)) this.#connections.emit(this, event);
     return this.#mayContinue();
   }
 
@@ -504,8 +506,8 @@
   const announced = connection.maxIdleMs;
   const maxIdle =
     announced === undefined
-      ? constants.idleUntold * (repeatable ? 3 : 1)
-      : announced - constants.idleMargin;
+      ? constants.defaultIdleMs * (repeatable ? 3 : 1)
+      : announced - constants.runnerIdleMarginMs;
   return now - connection.usedAt <= maxIdle;
 }
 
@@ -513,7 +515,7 @@
  * Whether an idle connection may carry a request. A connection that carried the same request id before may not: a delayed second
  * response to the earlier request could not be distinguished from the expected one.
  */
-function isUsableFor(connection: Connection, work: PassWork, now: number): boolean {
+function isUsableFor(connection: Connection, work: PassageWork, now: number): boolean {
   return (
     isFresh(connection, work.repeatable, now) && !connection.requestIds.includes(work.request.id)
   );
--- a/packages/data/src/pass-lots.ts
+++ b/packages/data/src/pass-lots.ts
@@ -3,20 +3,20 @@
 import { configuration } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
 import { NO_NEW_WORK } from "./admission.js";
-import type { Choice } from "./choice.js";
-import type { PassEvent } from "./dialect.js";
+import type { RunnerBalancer } from "./choice.js";
+import type { PassageEvent } from "./dialect.js";
 import { LotSearch, lotReply, type LotLookup } from "./lot-search.js";
 import type { Membership } from "./membership.js";
-import type { LotCall, LotHandedIn, LotReading, LotTold } from "./pass.js";
-import type { Found } from "./passage-index.js";
-import { PassDraw, type ItemStartRefusal } from "./pass-draw.js";
+import type { LotCall, SubmittedLot, LotResultsQuery, LotReply } from "./pass.js";
+import type { PassageMatch } from "./passage-index.js";
+import { ItemDispatcher, type ItemStartRefusal } from "./pass-draw.js";
 import type { PendingCalls } from "./pending-calls.js";
 import type { QueueOutcome } from "./queue-messages.js";
 import type { RelayCore } from "./relay-core.js";
 
 /** Submits lots, reads their results and ends them; `dispatcher` runs their items. */
 export class PassLots {
-  readonly dispatcher: PassDraw;
+  readonly dispatcher: ItemDispatcher;
   #membership: Membership;
   #pendingCalls: PendingCalls;
   #relay: RelayCore;
@@ -26,7 +26,7 @@
 
   constructor(
     membership: Membership,
-    choice: Choice,
+    choice: RunnerBalancer,
     pendingCalls: PendingCalls,
     relay: RelayCore,
   ) {
@@ -34,10 +34,10 @@
     this.#relay = relay;
     this.#pendingCalls = pendingCalls;
     this.#search = new LotSearch(membership, pendingCalls);
-    this.dispatcher = new PassDraw(membership, choice, pendingCalls);
+    this.dispatcher = new ItemDispatcher(membership, choice, pendingCalls);
   }
 
-  handIn(ticket: string, submission: LotHandedIn, now: number): AccessOutput[] {
+  handIn(ticket: string, submission: SubmittedLot, now: number): AccessOutput[] {
     if (this.#isStopping || !this.#membership.holds(now))
       return [lotReply(ticket, refusedTemporarily(NO_NEW_WORK))];
     const found = this.#relay.passages.find(submission.host, submission.path);
@@ -57,11 +57,16 @@
       return [lotReply(ticket, submissionReply(outcome))];
     };
     const command = submitCommand(found, submission, identity.tenancy?.tenant);
-    const patience = constants.handInPatience;
+    const patience = constants.submitTimeoutMs;
     return this.#pendingCalls.ask({ queue, command, patience, onResult }, now);
   }
 
-  read(ticket: string, call: LotCall, { from, hold }: LotReading, now: number): AccessOutput[] {
+  read(
+    ticket: string,
+    call: LotCall,
+    { from, hold }: LotResultsQuery,
+    now: number,
+  ): AccessOutput[] {
     const onFound = (value: QueueResult): AccessOutput[] | undefined => {
       if (value.kind !== "RESULTS") return undefined;
       const { total, results } = value;
@@ -86,7 +91,7 @@
   end(ticket: string, call: LotCall, now: number): AccessOutput[] {
     const onFound = (value: QueueResult, later: number): AccessOutput[] | undefined =>
       value.kind === "ENDED"
-        ? [lotReply(ticket, { kind: "ended" }), ...this.dispatcher.ended(call.lot, later)]
+        ? [lotReply(ticket, { kind: "ended" }), ...this.dispatcher.dropLot(call.lot, later)]
         : undefined;
     const commandFor = (reader: LotReader): QueueCommand => ({ kind: "end", ...reader });
     return this.#query({ ticket, call, commandFor, hold: 0, onFound }, now);
@@ -115,17 +120,17 @@
     return this.dispatcher.mayStart(attempt, now);
   }
 
-  goEvent(attempt: number, event: PassEvent, now: number): AccessOutput[] {
-    return this.dispatcher.goEvent(attempt, event, now);
+  goEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
+    return this.dispatcher.handleAttemptEvent(attempt, event, now);
   }
 
   /** Handles the notice of a queue owner that a lot has ended. */
   dropped(lot: string, now: number): AccessOutput[] {
-    return this.dispatcher.ended(lot, now);
+    return this.dispatcher.dropLot(lot, now);
   }
 
   beat(now: number): AccessOutput[] {
-    return this.dispatcher.beat(now);
+    return this.dispatcher.tick(now);
   }
 
   /** Starts a planned stop: no new work is accepted, work in progress continues. */
@@ -153,11 +158,11 @@
 }
 
 /** This node cannot answer now; another node may be able to at once. */
-const RETRY_LATER: LotTold = { kind: "later", retryAfter: constants.retryAfter };
+const RETRY_LATER: LotReply = { kind: "later", retryAfter: constants.retryAfter };
 
 function submitCommand(
-  { name, passage }: Found,
-  { lot, host, entries }: LotHandedIn,
+  { name, passage }: PassageMatch,
+  { lot, host, entries }: SubmittedLot,
   tenant: string | undefined,
 ): QueueCommand {
   return {
@@ -169,12 +174,12 @@
     entries,
     allowance: passage.waitingTokens,
     goesMost: passage.goesMost,
-    keeps: constants.lotDeadline,
+    keeps: constants.defaultLotDeadlineMs,
   };
 }
 
 /** Translates the queue owner's result for a submitted lot into the reply to the caller. */
-function submissionReply(outcome: QueueOutcome): LotTold {
+function submissionReply(outcome: QueueOutcome): LotReply {
   if (outcome.kind === "elsewhere") return refusedTemporarily(outcome.reason);
   if (outcome.kind === "unknown") return { kind: "later", retryAfter: constants.retryAfter };
   const { value } = outcome;
@@ -185,12 +190,14 @@
     kind: "refused",
     room: true,
     retryAfter:
-      wait === undefined ? constants.retryAfter : Math.max(constants.emptyPause, wait) / 1_000,
+      wait === undefined
+        ? constants.retryAfter
+        : Math.max(constants.emptyQueuePauseMs, wait) / 1_000,
     reason: `a lot of ${tokens} tokens does not fit: ${waiting} of ${allowance} wait`,
   };
 }
 
 /** The lot cannot be accepted now, for a reason other than its size. */
-function refusedTemporarily(reason: string): LotTold {
+function refusedTemporarily(reason: string): LotReply {
   return { kind: "refused", room: false, retryAfter: constants.retryAfter, reason };
 }
--- a/packages/data/src/pass.ts
+++ b/packages/data/src/pass.ts
@@ -1,14 +1,14 @@
 /** Types of the passages: relayed live requests, and lots (batch jobs) of items (docs/design.md §13). */
 import type { PassEntry } from "@chutewick/parts";
-import type { PassWork } from "./dialect.js";
+import type { PassageWork } from "./dialect.js";
 
 /** Commands and replies of the passages, carried out by the I/O layer of an access node. */
-export type PassOutput =
+export type PassageOutput =
   | {
       readonly kind: "pass-run";
       readonly go: number;
       readonly address: string;
-      readonly work: PassWork;
+      readonly work: PassageWork;
     }
   | { readonly kind: "pass-abandon"; readonly go: number }
   | { readonly kind: "pass-pause"; readonly go: number }
@@ -32,13 +32,13 @@
       readonly retryAfter: number | undefined;
       readonly reason: string;
     }
-  | { readonly kind: "lot-told"; readonly ticket: string; readonly told: LotTold };
+  | { readonly kind: "lot-told"; readonly ticket: string; readonly told: LotReply };
 
 /** One item of a submitted lot, as the queue stores it. */
 export type LotEntry = PassEntry;
 
 /** A submitted lot. */
-export interface LotHandedIn {
+export interface SubmittedLot {
   readonly lot: string;
   readonly host: string;
   readonly path: string;
@@ -56,7 +56,7 @@
 }
 
 /** A read of the results of a lot. */
-export interface LotReading {
+export interface LotResultsQuery {
   /** Position of the first result. */
   readonly from: number;
   /** Long-poll timeout in ms: how long the reply may wait for a result at that position. */
@@ -72,7 +72,7 @@
 }
 
 /** The reply to a call on a lot. */
-export type LotTold =
+export type LotReply =
   /** The lot is accepted as a whole and stored durably. */
   | { readonly kind: "taken" }
   /** The lot is rejected and no item runs. `room`: no free capacity; otherwise no owner is available. retryAfter in seconds. */
@@ -100,6 +100,6 @@
   | { readonly kind: "later"; readonly retryAfter: number };
 
 /** Whether an output of an access node belongs to the passages. */
-export function isPassing(output: { readonly kind: string }): output is PassOutput {
+export function isPassageOutput(output: { readonly kind: string }): output is PassageOutput {
   return output.kind.startsWith("pass-") || output.kind === "lot-told";
 }
--- a/packages/data/src/passage-index.ts
+++ b/packages/data/src/passage-index.ts
@@ -3,7 +3,7 @@
 import type { FleetView } from "./fleet-view.js";
 
 /** A passage with its name. */
-export interface Found {
+export interface PassageMatch {
   readonly name: string;
   readonly passage: Passage;
 }
@@ -14,7 +14,7 @@
 export class PassageIndex {
   #fleet: Pick<FleetView, "configuration">;
   #indexedPassages: Passages | undefined;
-  #byHostAndPrefix = new Map<string, Found>();
+  #byHostAndPrefix = new Map<string, PassageMatch>();
   /** Hosts with a passage for lots that needs no credential. */
   #keylessLotHosts = new Set<string>();
 
@@ -23,7 +23,7 @@
   }
 
   /** Returns the passage whose prefix is the longest match of the path. */
-  find(host: string, path: string): Found | undefined {
+  find(host: string, path: string): PassageMatch | undefined {
     this.#rebuildIfChanged();
     const normalizedHost = normalizeHost(host);
     let end = path.search(/[?#]/);
--- a/packages/data/src/pending-calls.ts
+++ b/packages/data/src/pending-calls.ts
@@ -165,11 +165,11 @@
   #shouldResend(pendingCall: PendingCall, now: number): boolean {
     const { sentTo, sentAt, command, queue, hold } = pendingCall;
     const sinceSent = now - sentAt;
-    if (sentTo === undefined) return sinceSent >= constants.ownerRetry;
+    if (sentTo === undefined) return sinceSent >= constants.ownerRetryDelayMs;
     if (mustNotRepeat(command)) return false;
     // The addressee is no longer the owner and may never reply.
-    if (this.owner(queue) !== sentTo) return sinceSent >= constants.ownerRetry;
-    return sinceSent >= constants.grantLasts + hold;
+    if (this.owner(queue) !== sentTo) return sinceSent >= constants.ownerRetryDelayMs;
+    return sinceSent >= constants.grantDurationMs + hold;
   }
 }
 
--- a/packages/data/src/planned-stop.ts
+++ b/packages/data/src/planned-stop.ts
@@ -27,12 +27,15 @@
  * With `hasExternalRouter`, other systems route callers to this node and learn only later that it is not ready.
  */
 export function stopTimes(stopWithinMs: number, hasExternalRouter: boolean): StopTimes {
-  const answersForMs = stopWithinMs - constants.lastAnswersBefore;
-  const closesWithinMs = stopWithinMs - constants.closeBefore;
+  const answersForMs = stopWithinMs - constants.finalRepliesBeforeEndMs;
+  const closesWithinMs = stopWithinMs - constants.closeBeforeEndMs;
   if (!hasExternalRouter)
     return { acceptsForMs: 0, staysOpenForMs: 0, answersForMs, closesWithinMs };
-  const acceptsForMs = Math.min(constants.unreadyLasts, stopWithinMs * constants.stopTakesPart);
-  const staysOpenForMs = Math.min(acceptsForMs + constants.refusesLeast, answersForMs);
+  const acceptsForMs = Math.min(
+    constants.unreadyPropagationMs,
+    stopWithinMs * constants.stopAcceptFraction,
+  );
+  const staysOpenForMs = Math.min(acceptsForMs + constants.minRefusalMs, answersForMs);
   return { acceptsForMs, staysOpenForMs, answersForMs, closesWithinMs };
 }
 
--- a/packages/data/src/prompt-dispatcher.ts
+++ b/packages/data/src/prompt-dispatcher.ts
@@ -4,15 +4,15 @@
  */
 import {
   constants,
-  duty,
-  heldFor,
+  rendezvous,
+  holderDurationMs,
   type ChainView,
-  type Ending,
+  type ClaimEnding,
   type QueueCommand,
   type QueueResult,
-  type RunnerCard,
+  type RunnerDescriptor,
 } from "@chutewick/parts";
-import { configuration, keys, standingClasses, type QueueStanding } from "@chutewick/control";
+import { configuration, keys, quotaClasses, type QueueQuota } from "@chutewick/control";
 import type { AccessCounts } from "./access-counts.js";
 import { runnerRequestBody, type DrawnPrompt } from "./access-jobs.js";
 import type { AccessOutput, GoEvent, Work } from "./access-output.js";
@@ -26,9 +26,9 @@
 import type { RunnerDemand, RunnerSelection } from "./runner-selection.js";
 
 /** Delay before a queue is dequeued from again when no runner accepted a prompt. */
-const NO_RUNNER_BACKOFF_MS = constants.emptyPause * 2;
+const NO_RUNNER_BACKOFF_MS = constants.emptyQueuePauseMs * 2;
 /** How long the outcome of a prompt is sent to the queue owner before giving up. */
-const RECORD_TIMEOUT_MS = constants.ownerPatience * 3;
+const RECORD_TIMEOUT_MS = constants.ownerTimeoutMs * 3;
 
 /** Dispatch state of one queue at this node. */
 interface QueueDispatch {
@@ -77,7 +77,7 @@
 
   beat(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
-    if (now - this.#heartbeatAt >= constants.lifeEvery) {
+    if (now - this.#heartbeatAt >= constants.promptHeartbeatIntervalMs) {
       this.#heartbeatAt = now;
       outputs.push(...this.#heartbeats(now));
     }
@@ -95,7 +95,7 @@
     if (outcome.kind !== "confirmed" || outcome.value.kind !== "TAKEN") return [];
     const { lot, index, go } = outcome.value;
     const command: QueueCommand = { kind: "record", lot, index, go, ending: { kind: "unsent" } };
-    const patience = constants.ownerPatience;
+    const patience = constants.ownerTimeoutMs;
     const call = { queue: queueOfLot(lot)!, command, patience, onResult: ignoreResult };
     return this.#pendingCalls.ask(call, now);
   }
@@ -135,7 +135,9 @@
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
       if (configuration.isPoolQueue(queue)) continue;
-      const dispatchers = duty.rank(queue, accessNodes).slice(0, constants.dispatchersPerQueue);
+      const dispatchers = rendezvous
+        .rank(queue, accessNodes)
+        .slice(0, constants.dispatchersPerQueue);
       if (dispatchers.includes(this.#membership.identity))
         outputs.push(...this.#dequeue(this.#dispatchOf(queue), now));
     }
@@ -157,7 +159,7 @@
     if (
       dispatch.isDequeuing ||
       now < dispatch.resumeAt ||
-      dispatch.inFlight >= constants.dispatchWidth
+      dispatch.inFlight >= constants.maxPromptsPerDispatcher
     )
       return [];
     const saturated = this.#saturatedSeasons(dispatch, now);
@@ -173,7 +175,7 @@
       dispatch.isDequeuing = false;
       return this.#handleDequeueResult(dispatch, outcome, askedAt, later);
     };
-    const call = { queue: dispatch.queue, command, patience: constants.grantLasts, onResult };
+    const call = { queue: dispatch.queue, command, patience: constants.grantDurationMs, onResult };
     return this.#pendingCalls.ask(call, now);
   }
 
@@ -184,7 +186,7 @@
     now: number,
   ): AccessOutput[] {
     if (outcome.kind !== "confirmed") {
-      dispatch.resumeAt = now + constants.emptyPause;
+      dispatch.resumeAt = now + constants.emptyQueuePauseMs;
       return [];
     }
     const { value } = outcome;
@@ -195,7 +197,9 @@
       return [...this.#tryNextRunner(prompt, now), ...this.#dequeue(dispatch, now)];
     }
     const pause =
-      value.kind === "RATE_LIMITED" ? (value.wait ?? constants.pauseMost) : constants.emptyPause;
+      value.kind === "RATE_LIMITED"
+        ? (value.wait ?? constants.maxDispatcherPauseMs)
+        : constants.emptyQueuePauseMs;
     dispatch.resumeAt = now + pause;
     return [];
   }
@@ -208,12 +212,12 @@
       adapter,
       labels: {},
       tried: new Set(),
-      seatPart: constants.lotPart,
+      slotFraction: constants.lotSlotFraction,
     };
     if (this.#selection.choose(demand, now) === undefined) return undefined;
-    const quota = this.#membership.follower.read<QueueStanding>(keys.standing + queue);
+    const quota = this.#membership.follower.read<QueueQuota>(keys.standing + queue);
     const full: string[] = [];
-    for (const { season, runners: selectors } of standingClasses(quota)) {
+    for (const { season, runners: selectors } of quotaClasses(quota)) {
       if (selectors.length === 0) continue;
       if (this.#selection.choose({ ...demand, selectors }, now) === undefined) full.push(season);
     }
@@ -232,7 +236,7 @@
     const { model, adapter } = dispatch;
     const body = runnerRequestBody({ request, model, adapter, prompt: prompt.prompt });
     const work: Work = { kind: "stream", request, body };
-    const silence = constants.promptSilence;
+    const silence = constants.promptSilenceTimeoutMs;
     return [this.#attempts.start({ job: prompt, runner, work, silence }, now)];
   }
 
@@ -240,9 +244,10 @@
     prompt: DrawnPrompt,
     { model, adapter }: QueueDispatch,
     now: number,
-  ): RunnerCard | undefined {
+  ): RunnerDescriptor | undefined {
     const { triedRunners, selectors } = prompt;
-    if (now > prompt.grantedUntil || triedRunners.size >= constants.runnersTried) return undefined;
+    if (now > prompt.grantedUntil || triedRunners.size >= constants.maxRunnersTried)
+      return undefined;
     const { ways } = this.#membership.configuration.value;
     return this.#selection.choose(
       {
@@ -252,7 +257,7 @@
         labels: ways[prompt.routeName]?.runners ?? {},
         selectors,
         tried: triedRunners,
-        seatPart: constants.lotPart,
+        slotFraction: constants.lotSlotFraction,
       },
       now,
     );
@@ -263,12 +268,12 @@
     return this.#end(attempt, prompt, { kind: "broken" }, now);
   }
 
-  #end(attempt: number, prompt: DrawnPrompt, ending: Ending, now: number): AccessOutput[] {
+  #end(attempt: number, prompt: DrawnPrompt, ending: ClaimEnding, now: number): AccessOutput[] {
     this.#attempts.end(attempt);
     return this.#record(prompt, ending, now);
   }
 
-  #record(prompt: DrawnPrompt, ending: Ending, now: number): AccessOutput[] {
+  #record(prompt: DrawnPrompt, ending: ClaimEnding, now: number): AccessOutput[] {
     this.#dispatchOf(prompt.queue).inFlight -= 1;
     this.#count(ending);
     const { queue, lot, index, claim } = prompt;
@@ -277,7 +282,7 @@
     return this.#pendingCalls.ask(call, now);
   }
 
-  #count({ kind }: Ending): void {
+  #count({ kind }: ClaimEnding): void {
     if (kind === "solved") this.#counts.solved += 1;
     else if (kind === "trouble") this.#counts.troubled += 1;
     else if (kind === "unsent") this.#counts.givenBack += 1;
@@ -298,7 +303,8 @@
   /** Yields the claims of prompts that make progress and of those whose outcome the owner has not recorded yet. */
   *#claims(now: number): Generator<QueueClaim> {
     for (const { queue, lot, index, claim, lastProgressAt } of this.#attempts.prompts())
-      if (now - lastProgressAt <= constants.promptSilence) yield [queue, { lot, index, go: claim }];
+      if (now - lastProgressAt <= constants.promptSilenceTimeoutMs)
+        yield [queue, { lot, index, go: claim }];
     for (const { queue, command } of this.#pendingCalls.values()) {
       if (command.kind !== "record") continue;
       yield [queue, { lot: command.lot, index: command.index, go: command.go }];
@@ -322,7 +328,7 @@
     prompt: dequeued.prompt,
     routeName: dequeued.way,
     selectors: dequeued.runners ?? [],
-    grantedUntil: askedAt + heldFor(constants.grantLasts),
+    grantedUntil: askedAt + holderDurationMs(constants.grantDurationMs),
     triedRunners: new Set(),
     pieces: [],
     lastProgressAt: now,
--- a/packages/data/src/queue-governance.ts
+++ b/packages/data/src/queue-governance.ts
@@ -16,7 +16,7 @@
 }
 
 /** The command to be appended to the log, or the reason for its refusal. */
-export type GovernedCommand =
+export type CheckedCommand =
   | { readonly kind: "entered"; readonly command: QueueCommand }
   | { readonly kind: "refused"; readonly reason: string };
 
@@ -27,19 +27,23 @@
  * Whether a command depends on the configuration or a season, so that the owner needs a lease for it. Results and cancellations
  * never wait for a lease.
  */
-export function isGoverned({ kind }: QueueCommand): boolean {
+export function requiresLease({ kind }: QueueCommand): boolean {
   return kind === "admit" || kind === "pop" || kind === "hand-in" || kind === "draw";
 }
 
 /** Applies the configuration of the owner to a command. */
-export function governed(command: QueueCommand, queue: QueueContext, now: number): GovernedCommand {
+export function applyConfiguration(
+  command: QueueCommand,
+  queue: QueueContext,
+  now: number,
+): CheckedCommand {
   if (command.kind === "admit") return applyToAdmission(command, queue);
   if (command.kind === "hand-in") return applyToSubmission(command, queue, now);
   return { kind: "entered", command };
 }
 
 /** A lot has labels of its own and of its route; the labels of its model and adapter come from the configuration. */
-function applyToAdmission(command: AdmitCommand, context: QueueContext): GovernedCommand {
+function applyToAdmission(command: AdmitCommand, context: QueueContext): CheckedCommand {
   const queuePlans = configuration.queues(context.configuration);
   const queuePlan = queuePlans.find(({ queue }) => queue === context.queue);
   if (queuePlan === undefined) return refused("the configuration has no such queue");
@@ -56,7 +60,7 @@
   command: SubmitCommand,
   queue: QueueContext,
   now: number,
-): GovernedCommand {
+): CheckedCommand {
   const { passages } = queue.configuration;
   const passage = Object.hasOwn(passages, command.way) ? passages[command.way] : undefined;
   if (passage === undefined || passage.kind !== "lot")
@@ -73,12 +77,12 @@
       ...(late ? { late } : {}),
       allowance,
       goesMost: passage.goesMost,
-      keeps: passage.keeps === undefined ? constants.lotDeadline : passage.keeps * 1_000,
+      keeps: passage.keeps === undefined ? constants.defaultLotDeadlineMs : passage.keeps * 1_000,
       within: passage.within,
     },
   };
 }
 
-function refused(reason: string): GovernedCommand {
+function refused(reason: string): CheckedCommand {
   return { kind: "refused", reason };
 }
--- a/packages/data/src/queue-refusals.ts
+++ b/packages/data/src/queue-refusals.ts
@@ -22,20 +22,21 @@
   #firstRefusedAt = new Map<string, number>();
 
   /** Records that items of a season were refused. */
-  addItems(count: number, season: string, now: number): void {
-    const since = now - constants.pressureLasts;
+  addRefusedItems(count: number, season: string, now: number): void {
+    const since = now - constants.rejectionRetentionMs;
     this.#refusedItems = this.#refusedItems.filter(({ at }) => at >= since);
     this.#refusedItems.push({ at: now, count, season });
   }
 
   /** Adds the recently refused items to the demand of their seasons. */
-  addNeeds(needs: Map<string, number>, now: number): void {
+  addDemand(needs: Map<string, number>, now: number): void {
     for (const { at, count, season } of this.#refusedItems)
-      if (now - at <= constants.pressureLasts) needs.set(season, (needs.get(season) ?? 0) + count);
+      if (now - at <= constants.rejectionRetentionMs)
+        needs.set(season, (needs.get(season) ?? 0) + count);
   }
 
   /** Records that tokens were removed from the queue. */
-  addFreed(tokens: number, now: number): void {
+  addFreedTokens(tokens: number, now: number): void {
     this.#freedTokens.push({ at: now, tokens });
   }
 
@@ -45,10 +46,10 @@
   }
 
   /** Records that a lot was refused; further refusals of the same lot change nothing. */
-  addLot(lot: string, now: number): void {
+  addRefusedLot(lot: string, now: number): void {
     if (this.#firstRefusedAt.has(lot)) return;
     this.#firstRefusedAt.set(lot, now);
-    if (this.#firstRefusedAt.size <= constants.refusedRemembered) return;
+    if (this.#firstRefusedAt.size <= constants.maxRememberedRejections) return;
     for (const oldest of this.#firstRefusedAt.keys()) {
       this.#firstRefusedAt.delete(oldest);
       break;
@@ -62,12 +63,12 @@
 
   /** Adds the estimated wait to a refusal: the time to free the missing tokens at the recent rate. */
   withWait(value: NoRoom, now: number): NoRoom {
-    const since = now - constants.drainCounted;
+    const since = now - constants.drainRateWindowMs;
     this.#freedTokens = this.#freedTokens.filter(({ at }) => at >= since);
     let freedTokens = 0;
     for (const { tokens } of this.#freedTokens) freedTokens += tokens;
     if (freedTokens === 0 || value.tokens > value.allowance) return value;
     const missingTokens = Math.max(0, value.waiting + value.tokens - value.allowance);
-    return { ...value, wait: (missingTokens / freedTokens) * constants.drainCounted };
+    return { ...value, wait: (missingTokens / freedTokens) * constants.drainRateWindowMs };
   }
 }
--- a/packages/data/src/recent-asks.ts
+++ b/packages/data/src/recent-asks.ts
@@ -10,7 +10,9 @@
 
   /** Records a request sent at `now`, in ms. */
   asked(now: number): void {
-    this.#requestTimes = this.#requestTimes.filter((time) => now - time <= constants.sessionLasts);
+    this.#requestTimes = this.#requestTimes.filter(
+      (time) => now - time <= constants.sessionTimeoutMs,
+    );
     if (this.#requestTimes.at(-1) !== now) this.#requestTimes.push(now);
   }
 
--- a/packages/data/src/relay-core.ts
+++ b/packages/data/src/relay-core.ts
@@ -4,10 +4,10 @@
  */
 import { constants, type Policy, type Tenancy } from "@chutewick/parts";
 import type { Passage } from "@chutewick/control";
-import { hashOf, type Choice, type Chosen, type GoEnd } from "./choice.js";
-import type { PassEvent, PassRequest, PassWork } from "./dialect.js";
+import { hashText, type RunnerBalancer, type ChosenRunner, type AttemptOutcome } from "./choice.js";
+import type { PassageEvent, PassageRequest, PassageWork } from "./dialect.js";
 import type { FleetView } from "./fleet-view.js";
-import type { PassOutput } from "./pass.js";
+import type { PassageOutput } from "./pass.js";
 import { PassageIndex } from "./passage-index.js";
 import { describeFailure, type RelayFailure } from "./relay-failure.js";
 import { SleepDetector } from "./sleep-detector.js";
@@ -22,7 +22,7 @@
 
 /** A request that passed the checks on arrival, with its passage and the identity of its caller. */
 interface Admitted {
-  readonly request: PassRequest;
+  readonly request: PassageRequest;
   readonly passage: Passage;
   readonly identity: Identity;
 }
@@ -33,7 +33,7 @@
 /** A live request under way, from its arrival until its caller has the last output. */
 interface RelayedRequest {
   readonly ticket: string;
-  readonly request: PassRequest;
+  readonly request: PassageRequest;
   readonly passage: Passage;
   readonly pool: string;
   /** Name of the tenant on whose behalf the request is served; undefined where the configuration names no tenants. */
@@ -76,7 +76,7 @@
 interface Attempt {
   readonly number: number;
   readonly live: RelayedRequest;
-  readonly chosen: Chosen;
+  readonly chosen: ChosenRunner;
   /** Monotonic time (ms) after which the attempt is of no use. */
   readonly until: number;
   /** Whether sending was permitted; from then on the request may have run. */
@@ -96,7 +96,7 @@
   readonly passages: PassageIndex;
   readonly tenants: TenantDirectory;
   #fleet: FleetView;
-  #balancer: Choice;
+  #balancer: RunnerBalancer;
   #policy: Policy;
   #usage: UsageCounter | undefined;
   #requests = new Map<string, RelayedRequest>();
@@ -124,7 +124,7 @@
     passRescued: 0,
   };
 
-  constructor(fleet: FleetView, choice: Choice, policy: Policy, usage?: UsageCounter) {
+  constructor(fleet: FleetView, choice: RunnerBalancer, policy: Policy, usage?: UsageCounter) {
     this.#fleet = fleet;
     this.passages = new PassageIndex(fleet);
     this.tenants = new TenantDirectory(fleet);
@@ -148,8 +148,8 @@
   }
 
   /** Ends all requests under way at the end of a planned stop, each with a final answer. */
-  giveLastAnswers(now: number): PassOutput[] {
-    const outputs: PassOutput[] = [];
+  giveLastAnswers(now: number): PassageOutput[] {
+    const outputs: PassageOutput[] = [];
     for (const live of [...this.#requests.values()]) {
       live.failure = { kind: "node-ends" };
       if (live.go?.hasStarted === true) live.mayHaveRun = true;
@@ -159,26 +159,32 @@
   }
 
   /** Admits or refuses a new request. */
-  arrive(ticket: string, request: PassRequest, now: number): PassOutput[] {
+  arrive(ticket: string, request: PassageRequest, now: number): PassageOutput[] {
     this.counts.passed += 1;
     if (this.#refusesNew)
       return this.#refuse(ticket, 503, constants.retryAfter, "this node is about to stop");
     if (!this.#fleet.serves(now))
-      return this.#refuse(ticket, 503, constants.knownAfter, "this node may not serve now");
+      return this.#refuse(
+        ticket,
+        503,
+        constants.noRunnerRetryAfterSeconds,
+        "this node may not serve now",
+      );
     const found = this.passages.find(request.host, request.path);
     if (found === undefined) return this.#refuseUnknownPassage(ticket, now);
     const identity = this.tenants.identify(found.passage, request.credential);
     if (identity === undefined) return this.#refuseUnauthorized(ticket, now);
-    if (this.#bodyBytes + request.body.length > this.#policy.memory * constants.bodiesPart)
+    if (this.#bodyBytes + request.body.length > this.#policy.memory * constants.bodyBytesPerMb)
       return this.#refuse(ticket, 503, constants.retryAfter, "this node holds as much as it may");
     return this.#admit(ticket, { request, passage: found.passage, identity }, now);
   }
 
-  #admit(ticket: string, { request, passage, identity }: Admitted, now: number): PassOutput[] {
+  #admit(ticket: string, { request, passage, identity }: Admitted, now: number): PassageOutput[] {
     const { tenancy, rank } = identity;
     const timeout = request.patience ?? passage.guard;
     const deadline = now + (timeout >= 0 ? Math.min(passage.guard, timeout) : passage.guard);
-    const wait = passage.aim > 0 ? passage.aim * constants.waitPart : constants.waitUntold;
+    const wait =
+      passage.aim > 0 ? passage.aim * constants.runnerWaitFraction : constants.defaultRunnerWaitMs;
     const live: RelayedRequest = {
       ticket,
       request,
@@ -189,7 +195,7 @@
       rank: rank ?? passage.rank,
       arrivedAt: now,
       deadline,
-      waitDeadline: Math.min(now + wait, deadline - constants.worthLeast),
+      waitDeadline: Math.min(now + wait, deadline - constants.minUsefulTimeMs),
       repeatable: passage.kind === "safe" || (passage.kind === "stream" && passage.resumable),
       triedRunners: new Set(),
       sentAttempts: 0,
@@ -206,7 +212,7 @@
     };
     this.#requests.set(ticket, live);
     this.#bodyBytes += request.body.length;
-    const outputs: PassOutput[] = [];
+    const outputs: PassageOutput[] = [];
     this.#send(live, now, outputs);
     return outputs;
   }
@@ -215,12 +221,12 @@
    * Only a node that holds a lease is certain to have every acknowledged change. Without one it answers 503 and not 404, since
    * it may not know a passage that was added.
    */
-  #refuseUnknownPassage(ticket: string, now: number): PassOutput[] {
+  #refuseUnknownPassage(ticket: string, now: number): PassageOutput[] {
     if (!this.#fleet.holds(now))
       return this.#refuse(
         ticket,
         503,
-        constants.knownAfter,
+        constants.noRunnerRetryAfterSeconds,
         "there is no passage at this host and path in a configuration that may be out of date",
       );
     this.counts.passUnknown += 1;
@@ -228,12 +234,12 @@
   }
 
   /** Answers 503 and not 401 without a lease, since the node may not know a credential that was added. */
-  #refuseUnauthorized(ticket: string, now: number): PassOutput[] {
+  #refuseUnauthorized(ticket: string, now: number): PassageOutput[] {
     if (!this.#fleet.holds(now))
       return this.#refuse(
         ticket,
         503,
-        constants.knownAfter,
+        constants.noRunnerRetryAfterSeconds,
         "no tenant holds this credential in a configuration that may be out of date",
       );
     this.counts.passUnauthorized += 1;
@@ -241,17 +247,17 @@
   }
 
   /** Abandons the request of a caller that disconnected. */
-  left(ticket: string, now: number): PassOutput[] {
+  left(ticket: string, now: number): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined) return [];
     this.counts.passLeft += 1;
-    const outputs: PassOutput[] = [];
+    const outputs: PassageOutput[] = [];
     this.#finish(live, "left", now, outputs);
     return this.#dispatchWaiting(now, outputs);
   }
 
   /** Pauses reading from the runner while the caller reads slowly. */
-  slow(ticket: string): PassOutput[] {
+  slow(ticket: string): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined || live.isCallerSlow) return [];
     live.isCallerSlow = true;
@@ -259,7 +265,7 @@
   }
 
   /** Resumes reading from the runner once the caller reads again. */
-  ready(ticket: string): PassOutput[] {
+  ready(ticket: string): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined || !live.isCallerSlow) return [];
     live.isCallerSlow = false;
@@ -275,9 +281,12 @@
     const attempt = this.#attempts.get(number);
     if (attempt === undefined) return "it is not wanted any more";
     const { runner, incarnation } = attempt.chosen;
-    if (now >= attempt.until - constants.worthLeast) return "too little time is left";
+    if (now >= attempt.until - constants.minUsefulTimeMs) return "too little time is left";
     if (!this.#fleet.serves(now)) return "this node may not serve now";
-    if (this.#fleet.isClosed(runner, incarnation) || !this.#balancer.stands(attempt.chosen, now))
+    if (
+      this.#fleet.isClosed(runner, incarnation) ||
+      !this.#balancer.isAnnounced(attempt.chosen, now)
+    )
       return "the runner is gone";
     attempt.hasStarted = true;
     attempt.window ??= this.#usage?.windowAt(now);
@@ -286,11 +295,11 @@
   }
 
   /** Handles an event of the connection on which an attempt runs. */
-  goEvent(number: number, event: PassEvent, now: number): PassOutput[] {
+  goEvent(number: number, event: PassageEvent, now: number): PassageOutput[] {
     const run = this.#attempts.get(number);
     if (run === undefined) return [];
     run.heardAt = now;
-    const outputs: PassOutput[] = [];
+    const outputs: PassageOutput[] = [];
     switch (event.kind) {
       case "event":
         this.#handleEvent(run, event.number, event.bytes, now, outputs);
@@ -326,11 +335,11 @@
   }
 
   /** Ends requests that are past their deadline, and moves requests away from silent runners. */
-  beat(now: number): PassOutput[] {
-    const outputs: PassOutput[] = [];
+  beat(now: number): PassageOutput[] {
+    const outputs: PassageOutput[] = [];
     // After a suspension of this process, events of live runners may still wait to be read.
     this.#sleepDetector.observe(now);
-    const awake = this.#sleepDetector.awakeFor(now) > constants.rescueAfter;
+    const awake = this.#sleepDetector.awakeFor(now) > constants.rescueDelayMs;
     for (const live of this.#requests.values()) {
       if (awake && now < live.deadline && live.repeatable && live.go !== undefined)
         this.#rescueIfSilent(live, live.go, now, outputs);
@@ -350,13 +359,13 @@
     live: RelayedRequest,
     attempt: Attempt,
     now: number,
-    outputs: PassOutput[],
+    outputs: PassageOutput[],
   ): void {
     if (
       !attempt.hasStarted ||
-      now - attempt.heardAt < constants.rescueAfter ||
+      now - attempt.heardAt < constants.rescueDelayMs ||
       !this.#mayAttempt(live, now, 1) ||
-      !this.#balancer.isQuiet(attempt.number, now)
+      !this.#balancer.isRunnerSilent(attempt.number, now)
     )
       return;
     if (live.opened && (live.passage.kind !== "stream" || !live.allEventsNumbered)) return;
@@ -370,7 +379,7 @@
     headers: readonly string[],
     stamped: boolean,
     now: number,
-    outputs: PassOutput[],
+    outputs: PassageOutput[],
   ): void {
     const { live } = attempt;
     if ((status >= 200 && status < 300 && !stamped) || notRunStatuses.has(status))
@@ -394,8 +403,9 @@
       return this.#retry(live, now, outputs);
     }
     attempt.head = { status, headers };
-    if (live.passage.kind === "stream" && status < 300) this.#balancer.sign(attempt.number, now);
-    else this.#balancer.first(attempt.number, now);
+    if (live.passage.kind === "stream" && status < 300)
+      this.#balancer.recordActivity(attempt.number, now);
+    else this.#balancer.recordFirstOutput(attempt.number, now);
   }
 
   /** Counts a request once, in the usage window in which a runner first started it (§14.2). */
@@ -410,7 +420,7 @@
     number: number | undefined,
     bytes: Uint8Array,
     now: number,
-    outputs: PassOutput[],
+    outputs: PassageOutput[],
   ): void {
     const { live } = attempt;
     if (number === undefined) live.allEventsNumbered = false;
@@ -418,16 +428,16 @@
     else if (live.last !== undefined && number <= live.last) return;
     else live.last = number;
     if (attempt.receivedBytes === 0) {
-      this.#balancer.first(attempt.number, now);
+      this.#balancer.recordFirstOutput(attempt.number, now);
       this.#countStart(live, this.#usage?.windowAt(now));
-    } else this.#balancer.sign(attempt.number, now);
+    } else this.#balancer.recordActivity(attempt.number, now);
     attempt.receivedBytes += bytes.length;
     this.#sendHead(attempt, outputs);
     outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
   }
 
   /** Forwards a chunk; before the head is sent, buffers it as long as the result is small enough. */
-  #handleData(attempt: Attempt, bytes: Uint8Array, outputs: PassOutput[]): void {
+  #handleData(attempt: Attempt, bytes: Uint8Array, outputs: PassageOutput[]): void {
     const { live } = attempt;
     if (live.opened) {
       outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes });
@@ -435,7 +445,7 @@
     }
     attempt.bufferedChunks.push(bytes);
     attempt.receivedBytes += bytes.length;
-    if (attempt.receivedBytes <= constants.wholeMost) return;
+    if (attempt.receivedBytes <= constants.maxBufferedResultBytes) return;
     this.#sendHead(attempt, outputs);
     for (const each of attempt.bufferedChunks)
       outputs.push({ kind: "pass-bytes", ticket: live.ticket, bytes: each });
@@ -443,7 +453,7 @@
   }
 
   /** Sends the response head to the caller, once. */
-  #sendHead(attempt: Attempt, outputs: PassOutput[]): void {
+  #sendHead(attempt: Attempt, outputs: PassageOutput[]): void {
     if (attempt.live.opened) return;
     attempt.live.opened = true;
     outputs.push({
@@ -455,7 +465,7 @@
   }
 
   /** Completes the request with the runner's whole result. */
-  #handleEnd(attempt: Attempt, now: number, outputs: PassOutput[]): void {
+  #handleEnd(attempt: Attempt, now: number, outputs: PassageOutput[]): void {
     const { live } = attempt;
     if (attempt.head === undefined)
       return this.#handleBroken(attempt, "the result had no head", now, outputs);
@@ -471,13 +481,13 @@
   }
 
   /** Rejects a result that must not reach the caller, and closes its connection. */
-  #discardResult(attempt: Attempt, reason: string, now: number, outputs: PassOutput[]): void {
+  #discardResult(attempt: Attempt, reason: string, now: number, outputs: PassageOutput[]): void {
     outputs.push({ kind: "pass-abandon", go: attempt.number });
     this.#handleBroken(attempt, reason, now, outputs);
   }
 
   /** Ends an attempt without a usable result: a repeatable request is retried, any other one fails. */
-  #handleBroken(attempt: Attempt, reason: string, now: number, outputs: PassOutput[]): void {
+  #handleBroken(attempt: Attempt, reason: string, now: number, outputs: PassageOutput[]): void {
     const { live } = attempt;
     live.sentAttempts += 1;
     live.mayHaveRun = true;
@@ -492,29 +502,34 @@
   }
 
   /** Detaches an attempt from its request and reports its outcome to the balancer. */
-  #endAttempt(attempt: Attempt, outcome: GoEnd, retryAfter: number | undefined, now: number): void {
+  #endAttempt(
+    attempt: Attempt,
+    outcome: AttemptOutcome,
+    retryAfter: number | undefined,
+    now: number,
+  ): void {
     this.#attempts.delete(attempt.number);
     if (attempt.live.go === attempt) attempt.live.go = undefined;
-    this.#balancer.end(attempt.number, outcome, retryAfter, now);
+    this.#balancer.recordEnd(attempt.number, outcome, retryAfter, now);
   }
 
   /** Whether another attempt is allowed, with `addedAttempts` counted on top of the sent ones. */
   #mayAttempt(live: RelayedRequest, now: number, addedAttempts: number): boolean {
     return (
       live.sentAttempts + addedAttempts < live.passage.goesMost &&
-      live.unsent < constants.unsentMost &&
-      now < live.deadline - constants.worthLeast
+      live.unsent < constants.maxUnsentAttempts &&
+      now < live.deadline - constants.minUsefulTimeMs
     );
   }
 
   /** Tries another runner, or fails the request at once where no attempt is left. */
-  #retry(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
+  #retry(live: RelayedRequest, now: number, outputs: PassageOutput[]): void {
     if (this.#mayAttempt(live, now, 0)) this.#send(live, now, outputs);
     else this.#giveUp(live, now, outputs);
   }
 
   /** Sends a request to a runner, or lets it wait for one. */
-  #send(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
+  #send(live: RelayedRequest, now: number, outputs: PassageOutput[]): void {
     const chosen = this.#choose(live, now);
     if (chosen === undefined) {
       if (now >= live.waitDeadline) return this.#giveUp(live, now, outputs);
@@ -523,7 +538,7 @@
       return;
     }
     this.#waiting.delete(live);
-    const number = this.#balancer.nextGo();
+    const number = this.#balancer.nextAttemptNumber();
     const attempt: Attempt = {
       number,
       live,
@@ -538,7 +553,7 @@
     live.go = attempt;
     live.triedRunners.add(chosen.runner);
     this.#attempts.set(number, attempt);
-    this.#balancer.begin(number, chosen.runner, live.request, false, now);
+    this.#balancer.recordStart(number, chosen.runner, live.request, false, now);
     this.counts.passGos += 1;
     if (live.opened) this.counts.passResumed += 1;
     const work = workOf(live, chosen.runner);
@@ -547,7 +562,7 @@
   }
 
   /** Chooses a runner in the pool that the weights assigned, else in another pool of the passage. */
-  #choose(live: RelayedRequest, now: number): Chosen | undefined {
+  #choose(live: RelayedRequest, now: number): ChosenRunner | undefined {
     const chosen = this.#balancer.choose(live.pool, live.request, live.triedRunners, false, now);
     if (chosen !== undefined || live.passage.pools.length === 1) return chosen;
     for (const { pool, weight } of live.passage.pools) {
@@ -559,13 +574,13 @@
   }
 
   /** Tries the requests that wait for a runner, in order of arrival. */
-  #dispatchWaiting(now: number, outputs: PassOutput[]): PassOutput[] {
+  #dispatchWaiting(now: number, outputs: PassageOutput[]): PassageOutput[] {
     for (const live of this.#waiting) this.#send(live, now, outputs);
     return outputs;
   }
 
   /** Fails a request. The answer promises that it did not run only where it certainly did not and never will. */
-  #giveUp(live: RelayedRequest, now: number, outputs: PassOutput[]): void {
+  #giveUp(live: RelayedRequest, now: number, outputs: PassageOutput[]): void {
     const { ticket } = live;
     this.#finish(live, "broken", now, outputs);
     if (live.opened) {
@@ -586,7 +601,9 @@
           ticket,
           503,
           live.retryAfter ??
-            (this.#balancer.knows(live.pool, now) ? constants.seatAfter : constants.knownAfter),
+            (this.#balancer.hasRunners(live.pool, now)
+              ? constants.slotRetryAfterSeconds
+              : constants.noRunnerRetryAfterSeconds),
           describeFailure(live.failure),
         ),
       );
@@ -594,7 +611,12 @@
   }
 
   /** Forgets a request and abandons its attempt, if one is under way. */
-  #finish(live: RelayedRequest, outcome: GoEnd, now: number, outputs: PassOutput[]): void {
+  #finish(
+    live: RelayedRequest,
+    outcome: AttemptOutcome,
+    now: number,
+    outputs: PassageOutput[],
+  ): void {
     this.#requests.delete(live.ticket);
     this.#bodyBytes -= live.request.body.length;
     this.#waiting.delete(live);
@@ -609,14 +631,14 @@
     status: 401 | 404 | 503,
     retryAfter: number | undefined,
     reason: string,
-  ): PassOutput[] {
+  ): PassageOutput[] {
     if (status === 503) this.counts.passRefused += 1;
     return [{ kind: "pass-refused", ticket, status, retryAfter, reason }];
   }
 }
 
 /** The work that is sent to a runner for a live request. */
-function workOf(live: RelayedRequest, runner: string): PassWork {
+function workOf(live: RelayedRequest, runner: string): PassageWork {
   return {
     request: live.request,
     runner,
@@ -635,7 +657,7 @@
   if (pools.length === 1) return pools[0]!.pool;
   let sum = 0;
   for (const { weight } of pools) sum += weight;
-  let remaining = (hashOf(id) / 0x1_0000_0000) * sum;
+  let remaining = (hashText(id) / 0x1_0000_0000) * sum;
   let fallback = pools[0]!.pool;
   for (const { pool, weight } of pools) {
     if (weight <= 0) continue;
--- a/packages/data/src/runner-registrations.ts
+++ b/packages/data/src/runner-registrations.ts
@@ -1,5 +1,5 @@
 /** Registration of runners: they announce themselves to an access node periodically, and deregister (docs/design.md §7.5). */
-import { constants, type RunnerCard } from "@chutewick/parts";
+import { constants, type RunnerDescriptor } from "@chutewick/parts";
 import type { ControlOutcome } from "@chutewick/control";
 import type { AccessOutput } from "./access-output.js";
 import type { Admission } from "./admission.js";
@@ -9,7 +9,7 @@
 import { SleepDetector } from "./sleep-detector.js";
 
 interface Announcement {
-  readonly card: RunnerCard;
+  readonly card: RunnerDescriptor;
   /** Time of the last announcement in ms, monotonic. */
   readonly heardAt: number;
 }
@@ -40,25 +40,25 @@
   }
 
   /** Registers a runner and replies with the interval of its announcements. */
-  announce(ticket: string, announced: Omit<RunnerCard, "age">, now: number): AccessOutput[] {
+  announce(ticket: string, announced: Omit<RunnerDescriptor, "age">, now: number): AccessOutput[] {
     const refusal = this.#checkAnnouncement(ticket, announced);
     if (refusal !== undefined) return [refusal];
     // A message read right after this process was suspended may be older than the deregistration of its sender.
     this.#sleepDetector.observe(now);
-    if (this.#sleepDetector.awakeFor(now) < constants.wakingLasts)
+    if (this.#sleepDetector.awakeFor(now) < constants.resumePeriodMs)
       return [announceElsewhere(ticket)];
-    const card: RunnerCard = { ...announced, age: 0 };
+    const card: RunnerDescriptor = { ...announced, age: 0 };
     this.#announcements.set(card.id, { card, heardAt: now });
     this.#membership.heardRunner({ ...card }, now);
     // Without a lease this node cannot report the runner to the control group, so the runner has to announce at another node, too.
     if (!this.#admission.isOpen(now)) return [announceElsewhere(ticket)];
-    const body = { announceEvery: constants.announceEvery };
+    const body = { announceEvery: constants.announceIntervalMs };
     return [{ kind: "reply", ticket, status: 200, body }];
   }
 
   #checkAnnouncement(
     ticket: string,
-    { id, incarnation }: Omit<RunnerCard, "age">,
+    { id, incarnation }: Omit<RunnerDescriptor, "age">,
   ): ErrorReply | undefined {
     if (this.#membership.isClosed(id, incarnation))
       return errorReply(ticket, 409, {
@@ -96,15 +96,15 @@
   }
 
   /** Removes the runners whose last announcement is too old. */
-  beat(now: number): void {
+  tick(now: number): void {
     this.#sleepDetector.observe(now);
     for (const [id, { heardAt }] of this.#announcements)
       if (now - heardAt > constants.runnerLasts) this.#announcements.delete(id);
   }
 
   /** The runner cards that this node reports to the control group, with their ages in ms. */
-  cards(now: number): RunnerCard[] {
-    const cards: RunnerCard[] = [];
+  cards(now: number): RunnerDescriptor[] {
+    const cards: RunnerDescriptor[] = [];
     for (const { card, heardAt } of this.#announcements.values())
       cards.push({ ...card, age: Math.max(0, now - heardAt) });
     return cards;
--- a/packages/data/src/runner-selection.ts
+++ b/packages/data/src/runner-selection.ts
@@ -1,5 +1,5 @@
 /** Chooses the runner that a live request or a dequeued prompt of a route is sent to (docs/design.md §8.3). */
-import { constants, season, type RunnerCard, type Selector } from "@chutewick/parts";
+import { constants, season, type RunnerDescriptor, type Selector } from "@chutewick/parts";
 import { configuration } from "@chutewick/control";
 import type { Attempts } from "./attempts.js";
 import type { Membership } from "./membership.js";
@@ -12,7 +12,7 @@
 
 /** The requirements that a runner has to meet. */
 export interface RunnerDemand {
-  readonly kind: RunnerCard["kind"];
+  readonly kind: RunnerDescriptor["kind"];
   readonly model: string | undefined;
   readonly adapter: string | undefined;
   /** Labels that the runner must have, with their values. */
@@ -22,7 +22,7 @@
   /** Ids of the runners that were tried already and are excluded. */
   readonly tried: ReadonlySet<string>;
   /** Part of a runner's slots that this kind of work may fill. */
-  readonly seatPart: number;
+  readonly slotFraction: number;
   /** Number of runners tried already although they had no free slot. */
   readonly fullRunnersTried?: number;
 }
@@ -41,13 +41,13 @@
    * Chooses at random, weighted by free slots. Always taking the runner with the most free slots would send the work of all
    * nodes that see the same loads to the same runner.
    */
-  choose(demand: RunnerDemand, now: number): RunnerCard | undefined {
+  choose(demand: RunnerDemand, now: number): RunnerDescriptor | undefined {
     const { identity } = this.#membership;
-    let best: RunnerCard | undefined;
+    let best: RunnerDescriptor | undefined;
     let bestKey = Number.NEGATIVE_INFINITY;
     for (const card of this.#membership.runners(now)) {
       if (!meetsDemand(card, demand)) continue;
-      const free = card.seats * demand.seatPart - this.#attempts.load(card, now);
+      const free = card.seats * demand.slotFraction - this.#attempts.load(card, now);
       if (free <= 0 && !mayTryFullRunner(demand)) continue;
       const seed = `${identity}/${this.#attempts.lastNumber}/${card.id}`;
       const key = weightedKey(seed, this.#weight(card, free));
@@ -59,13 +59,13 @@
     return best;
   }
 
-  #weight(card: RunnerCard, free: number): number {
+  #weight(card: RunnerDescriptor, free: number): number {
     if (free <= 0) return FULL_RUNNER_WEIGHT / (1 - free);
     return free * (card.zone === this.#membership.zone ? OWN_ZONE_FACTOR : 1);
   }
 }
 
-function meetsDemand(card: RunnerCard, demand: RunnerDemand): boolean {
+function meetsDemand(card: RunnerDescriptor, demand: RunnerDemand): boolean {
   if (card.kind !== demand.kind || demand.tried.has(card.id)) return false;
   if (!servesModel(card, demand)) return false;
   if (!hasLabels(card.labels, demand.labels)) return false;
@@ -73,7 +73,7 @@
 }
 
 /** Whether a runner serves the model; a runner of a model also serves the adapters of that model. */
-function servesModel({ models }: RunnerCard, { model, adapter }: RunnerDemand): boolean {
+function servesModel({ models }: RunnerDescriptor, { model, adapter }: RunnerDemand): boolean {
   return (
     model === undefined ||
     models.includes(configuration.queueOf(model, adapter)) ||
@@ -82,8 +82,8 @@
 }
 
 /** A live request may try some runners without a free slot as a last resort, because reported loads are up to a second old. */
-function mayTryFullRunner({ seatPart, fullRunnersTried = 0 }: RunnerDemand): boolean {
-  return seatPart >= 1 && fullRunnersTried < constants.fullTried;
+function mayTryFullRunner({ slotFraction: seatPart, fullRunnersTried = 0 }: RunnerDemand): boolean {
+  return seatPart >= 1 && fullRunnersTried < constants.maxFullRunnersTried;
 }
 
 function hasLabels(
--- a/packages/data/src/sleep-detector.ts
+++ b/packages/data/src/sleep-detector.ts
@@ -13,7 +13,7 @@
 
   /** Records that this process is running. */
   observe(now: number): void {
-    if (now - this.#lastObservedAt > constants.sleptLeast) this.#resumedAt = now;
+    if (now - this.#lastObservedAt > constants.minSuspensionMs) this.#resumedAt = now;
     this.#lastObservedAt = now;
   }
 
--- a/packages/data/src/storage-core.ts
+++ b/packages/data/src/storage-core.ts
@@ -10,7 +10,7 @@
   type PassEnding,
   type Policy,
   type ChainCommand,
-  type ChainHolding,
+  type PersistedChain,
   type ChainResult,
   type ChainView,
   type ChainWrite,
@@ -18,13 +18,13 @@
   type QueueCommand,
   type QueueResult,
   type ShareClass,
-  type ShareTelling,
-  type Telling,
+  type SeasonShareReport,
+  type NodeReport,
 } from "@chutewick/parts";
-import { keys, standingClasses, type QueueStanding } from "@chutewick/control";
+import { keys, quotaClasses, type QueueQuota } from "@chutewick/control";
 import { ClaimHeartbeats } from "./claim-heartbeats.js";
 import { Membership, type Standing } from "./membership.js";
-import { governed, isGoverned, type GovernedCommand } from "./queue-governance.js";
+import { applyConfiguration, requiresLease, type CheckedCommand } from "./queue-governance.js";
 import type { DataMessage, QueueOutcome } from "./queue-messages.js";
 import { QueueRefusals } from "./queue-refusals.js";
 
@@ -78,7 +78,7 @@
   readonly missingSince: Map<string, number>;
 }
 
-type QueueShareReport = NonNullable<Telling["shares"]>[number];
+type QueueShareReport = NonNullable<NodeReport["shares"]>[number];
 
 /** Prefix of the ticket under which an owner enters limits; the version of the share follows. */
 const LIMIT_TICKET_PREFIX = "limit/";
@@ -105,13 +105,13 @@
   constructor(
     node: Standing,
     seeds: readonly string[],
-    persistedChains: ReadonlyMap<string, ChainHolding>,
+    persistedChains: ReadonlyMap<string, PersistedChain>,
     now: number,
-    deploymentPolicy: Policy = policy.usual,
+    deploymentPolicy: Policy = policy.defaults,
   ) {
     this.#node = node;
     const self = this;
-    function createReport(): Telling {
+    function createReport(): NodeReport {
       return self.#createReport();
     }
     this.membership = new Membership(node, seeds, now, createReport, deploymentPolicy);
@@ -122,7 +122,7 @@
   #now: number;
 
   /** Starts to keep a queue, with what the disk holds of it. */
-  #open(queue: string, now: number, persisted?: ChainHolding): Partition {
+  #open(queue: string, now: number, persisted?: PersistedChain): Partition {
     const machine = new QueueMachine();
     const chain = new Chain(
       queue,
@@ -150,12 +150,12 @@
   }
 
   /** The part of this machine's heartbeats that describes its queues. */
-  #createReport(): Telling {
+  #createReport(): NodeReport {
     const copied: [string, number][] = [];
     const stuck: [string, number, string][] = [];
     for (const [queue, { chain }] of this.#partitions) {
       if (chain.copiedMark > 0) copied.push([queue, chain.copiedMark]);
-      const stuckMember = chain.stuck(this.#now);
+      const stuckMember = chain.slowReplica(this.#now);
       if (stuckMember !== undefined) stuck.push([queue, chain.view!.mark, stuckMember.identity]);
     }
     const shares: QueueShareReport[] = [];
@@ -206,8 +206,9 @@
         );
       case "life": {
         const partition = this.#partitions.get(message.queue);
-        for (const claim of message.items) partition?.heartbeats.heardItem(claim, now);
-        for (const claim of message.tasks ?? []) partition?.heartbeats.heardTask(claim, now);
+        for (const claim of message.items) partition?.heartbeats.recordItemHeartbeat(claim, now);
+        for (const claim of message.tasks ?? [])
+          partition?.heartbeats.recordTaskHeartbeat(claim, now);
         return [];
       }
       default:
@@ -278,8 +279,8 @@
   }
 
   /** Applies the configuration to a command, if it is of a kind that requires a lease. */
-  #checkCommand(partition: Partition, command: QueueCommand, now: number): GovernedCommand {
-    if (!isGoverned(command)) return { kind: "entered", command };
+  #checkCommand(partition: Partition, command: QueueCommand, now: number): CheckedCommand {
+    if (!requiresLease(command)) return { kind: "entered", command };
     if (!this.membership.holds(now)) return { kind: "refused", reason: NO_LEASE_REASON };
     const { chain, machine, refusals } = partition;
     const queue = {
@@ -288,7 +289,7 @@
       hasShare: machine.share(chain.ledger) !== undefined,
       refusals,
     };
-    return governed(command, queue, now);
+    return applyConfiguration(command, queue, now);
   }
 
   /** Ends the claims that a dispatcher held before it restarted at the same address: it has lost that work. */
@@ -300,7 +301,7 @@
     const { chain, machine } = partition;
     if (!chain.serves || by === undefined) return [];
     const lost: { claim: Claim; ending: PassEnding }[] = [];
-    for (const [key, claimed] of machine.passes.processing())
+    for (const [key, claimed] of machine.passQueue.processing())
       if (claimed.holder === holder && claimed.by !== undefined && claimed.by !== by)
         lost.push(brokenClaim(key, claimed.go));
     if (lost.length === 0) return [];
@@ -309,8 +310,8 @@
 
   /** Whether a held command has something to return. */
   #canAnswer({ chain, machine }: Partition, command: HeldCommand["command"], now: number): boolean {
-    if (command.kind === "results") return machine.passes.isTold(chain.ledger, command);
-    return machine.passes.ready(command.able, chain.time(now), 1) > 0;
+    if (command.kind === "results") return machine.passQueue.canAnswerRead(chain.ledger, command);
+    return machine.passQueue.countReady(command.able, chain.time(now), 1) > 0;
   }
 
   /**
@@ -352,7 +353,11 @@
     if (!this.membership.holds(now))
       return [result(to, ticket, { kind: "elsewhere", reason: NO_LEASE_REASON })];
     const { chain, machine } = partition;
-    const ready = machine.passes.ready(command.able, chain.time(now), command.most * waitingDraws);
+    const ready = machine.passQueue.countReady(
+      command.able,
+      chain.time(now),
+      command.most * waitingDraws,
+    );
     const maxItems = Math.max(1, Math.min(command.most, Math.ceil(ready / waitingDraws)));
     return this.#submitCommand(
       partition,
@@ -376,7 +381,7 @@
     this.#ticketNumber += 1;
     const chainTicket = String(this.#ticketNumber);
     this.#pendingCommands.set(chainTicket, { ticket, to, heldMs, command });
-    return this.#perform(partition, partition.chain.inquire(chainTicket, command, now), now);
+    return this.#perform(partition, partition.chain.execute(chainTicket, command, now), now);
   }
 
   /** Submits a command of the owner itself, whose result is returned to nobody. */
@@ -386,7 +391,7 @@
     command: QueueCommand,
     now: number,
   ): StorageOutput[] {
-    return this.#perform(partition, partition.chain.inquire(ticket, command, now), now);
+    return this.#perform(partition, partition.chain.execute(ticket, command, now), now);
   }
 
   /** Turns what a chain asks for into outputs of this core. */
@@ -447,20 +452,20 @@
   ): QueueResult {
     switch (value.kind) {
       case "SETTLED":
-        if (value.freed > 0) refusals.addFreed(value.freed, now);
+        if (value.freed > 0) refusals.addFreedTokens(value.freed, now);
         return value;
       case "NO_ROOM":
-        if (command.kind === "hand-in") refusals.addLot(command.lot, now);
+        if (command.kind === "hand-in") refusals.addRefusedLot(command.lot, now);
         return refusals.withWait(value, now);
       case "HANDED":
         refusals.forgetLot(value.lot);
         return value;
       case "DRAWN":
         // A dispatcher can start an item only after it received the claim, so the claim timeout starts here.
-        for (const task of value.tasks) heartbeats.toldTask(task, now);
+        for (const task of value.tasks) heartbeats.recordTaskReported(task, now);
         return value;
       case "FULL":
-        refusals.addItems(value.items, value.season, now);
+        refusals.addRefusedItems(value.items, value.season, now);
         return value;
       default:
         return value;
@@ -473,7 +478,7 @@
     const partition = this.#partitions.get(queue);
     return partition === undefined
       ? []
-      : this.#perform(partition, partition.chain.written(ticket, now), now);
+      : this.#perform(partition, partition.chain.writeCompleted(ticket, now), now);
   }
 
   /** Periodic work: timeouts, held commands, the owner's checks and heartbeats. */
@@ -481,7 +486,7 @@
     this.#now = now;
     const outputs: StorageOutput[] = [];
     for (const partition of this.#partitions.values()) {
-      outputs.push(...this.#perform(partition, partition.chain.beat(now), now));
+      outputs.push(...this.#perform(partition, partition.chain.tick(now), now));
       outputs.push(...this.#answerHeldCommands(partition, now));
       if (partition.chain.serves) outputs.push(...this.#runOwnerChecks(partition, now));
     }
@@ -498,12 +503,12 @@
       partition.committedShareVersion = 0;
       partition.heartbeats.clear();
     }
-    if (now - partition.lastCheckedAt < constants.planEvery) return [];
+    if (now - partition.lastCheckedAt < constants.placementIntervalMs) return [];
     partition.lastCheckedAt = now;
     const outputs = this.#enterLimits(partition, now);
     outputs.push(...this.#revokeOrphanedClaims(partition, now));
     outputs.push(...this.#dropRemovedPassages(partition, now));
-    if (machine.due(chain.ledger, chain.time(now)))
+    if (machine.isExpiryDue(chain.ledger, chain.time(now)))
       outputs.push(...this.#submitOwnCommand(partition, "expire", { kind: "expire" }, now));
     return outputs;
   }
@@ -534,8 +539,8 @@
   }
 
   /** The quota that the feed has for the queue, if the share in the ledger is older. */
-  #newerQuota({ chain, machine }: Partition): QueueStanding | undefined {
-    const quota = this.membership.follower.read<QueueStanding>(keys.standing + chain.name);
+  #newerQuota({ chain, machine }: Partition): QueueQuota | undefined {
+    const quota = this.membership.follower.read<QueueQuota>(keys.standing + chain.name);
     const ledgerVersion = machine.share(chain.ledger)?.mark ?? 0;
     return quota !== undefined && quota.shareMark > ledgerVersion ? quota : undefined;
   }
@@ -546,7 +551,7 @@
    */
   #enterLimitsBefore(partition: Partition, command: QueueCommand, now: number): StorageOutput[] {
     const isDue =
-      isGoverned(command) && partition.chain.serves && this.#newerQuota(partition) !== undefined;
+      requiresLease(command) && partition.chain.serves && this.#newerQuota(partition) !== undefined;
     return isDue ? this.#enterLimits(partition, now) : [];
   }
 
@@ -558,10 +563,10 @@
     for (const [key, go] of processing)
       if (!heartbeats.isAlive(key, go, now)) orphans.push(claimOf(key, go));
     const lost: { claim: Claim; ending: PassEnding }[] = [];
-    const tasks = machine.passes.processing();
+    const tasks = machine.passQueue.processing();
     for (const [key, { go }] of tasks)
       if (!heartbeats.isTaskAlive(key, go, chain, now)) lost.push(brokenClaim(key, go));
-    heartbeats.forgetAllBut(processing, tasks);
+    heartbeats.retainOnly(processing, tasks);
     const count = orphans.length + lost.length;
     if (count === 0) return [];
     const outputs: StorageOutput[] = [
@@ -592,13 +597,13 @@
     }
     const { passages } = this.membership.configuration.value;
     const missing = new Set<string>();
-    for (const way of machine.passes.ways())
+    for (const way of machine.passQueue.activePassages())
       if (!Object.hasOwn(passages ?? {}, way) || passages[way]!.kind !== "lot") missing.add(way);
     for (const way of [...missingSince.keys()]) if (!missing.has(way)) missingSince.delete(way);
     for (const way of missing) {
       const since = missingSince.get(way) ?? now;
       missingSince.set(way, since);
-      if (now - since >= constants.passageGone)
+      if (now - since >= constants.passageRemovalDelayMs)
         outputs.push(
           ...this.#submitOwnCommand(partition, "drop-way", { kind: "drop-way", way }, now),
         );
@@ -674,9 +679,9 @@
 }
 
 /** The share of each class of a quota. */
-function shareClassesOf(quota: QueueStanding): ShareClass[] {
+function shareClassesOf(quota: QueueQuota): ShareClass[] {
   const classes: ShareClass[] = [];
-  for (const { season, select, runners, target } of standingClasses(quota))
+  for (const { season, select, runners, target } of quotaClasses(quota))
     classes.push({ season, select, runners, share: target });
   return classes;
 }
@@ -694,10 +699,10 @@
   const share = machine.share(chain.ledger);
   if (!chain.serves || share === undefined || committedShareVersion !== share.mark)
     return undefined;
-  const open = machine.open();
+  const open = machine.openItemsBySeason();
   const demand = new Map(open);
-  refusals.addNeeds(demand, now);
-  const classes: ShareTelling[] = [];
+  refusals.addDemand(demand, now);
+  const classes: SeasonShareReport[] = [];
   let [totalHeld, totalDemand] = [0, 0];
   for (const { season, share: seasonShare } of classesOf(share)) {
     const held = Math.max(seasonShare, open.get(season) ?? 0);
--- a/packages/data/src/storage-service.ts
+++ b/packages/data/src/storage-service.ts
@@ -22,7 +22,7 @@
 import {
   constants,
   outcome,
-  type ChainHolding,
+  type PersistedChain,
   type DiskCondition,
   type Outcome,
 } from "@chutewick/parts";
@@ -46,7 +46,7 @@
     function receive(message: unknown, from: string): void {
       self.#perform(self.#core.receive(message as DataMessage, from, monotonic()));
     }
-    const persistedChains = new Map<string, ChainHolding>();
+    const persistedChains = new Map<string, PersistedChain>();
     for (const chain of disk.chains()) persistedChains.set(chain, disk.holding(chain)!);
     disk.forgetFound();
     this.#core = new StorageCore(
@@ -84,7 +84,7 @@
     const storageProcess = new StorageProcess(settings, log, dataFolder);
     started.process = storageProcess;
     const failure = await listen(storageProcess.#wire, storageProcess.#gateway);
-    if (failure !== undefined) return outcome.bad(failure);
+    if (failure !== undefined) return outcome.failure(failure);
     function tick(now: number): void {
       dataFolder.beat(now);
       storageProcess.#perform(storageProcess.#core.beat(now));
@@ -92,7 +92,7 @@
     }
     storageProcess.#timer.start(tick);
     log.info({ identity: disk.value.identity, wire: settings.wire }, "storage machine is up");
-    return outcome.good(storageProcess);
+    return outcome.success(storageProcess);
   }
 
   /** Passes a change of the disk's condition to the core. */
@@ -105,7 +105,7 @@
     const { held } = this.#core;
     this.#perform(this.#core.leave(monotonic()));
     const self = this;
-    const deadline = monotonic() + constants.handOverPatience;
+    const deadline = monotonic() + constants.handOverTimeoutMs;
     function isHandoverDone(): boolean {
       return self.#core.held === 0 || monotonic() > deadline;
     }
--- a/packages/data/src/unserved-requests.ts
+++ b/packages/data/src/unserved-requests.ts
@@ -19,7 +19,7 @@
 
   /** Number of recently rejected requests of each model. */
   countByModel(now: number): [model: string, count: number][] {
-    const since = now - constants.pressureLasts;
+    const since = now - constants.rejectionRetentionMs;
     this.#requests = this.#requests.filter(({ at }) => at >= since);
     const counts = new Map<string, number>();
     for (const { model } of this.#requests) counts.set(model, (counts.get(model) ?? 0) + 1);
--- a/packages/data/src/usage/access-usage.ts
+++ b/packages/data/src/usage/access-usage.ts
@@ -28,7 +28,7 @@
   heardLease(from: string, message: LeaseMessage, now: number): void {
     this.#reports.heard(from, message, now);
     const { identity: source, wall, askedAt } = message;
-    if (wall !== undefined) this.time.heard({ source, wall, late: now - askedAt }, now);
+    if (wall !== undefined) this.time.recordReading({ source, wall, late: now - askedAt }, now);
   }
 
   /** Handles the acknowledgement of a usage report. */
--- a/packages/data/src/usage/usage-counter.ts
+++ b/packages/data/src/usage/usage-counter.ts
@@ -66,10 +66,10 @@
       for (const [tenant, { count, changedAt }] of tenants)
         if (changedAt > change) changed.push({ window, count: [tenant, count], changedAt });
     }
-    if (changed.length <= constants.usageCountsMost)
+    if (changed.length <= constants.maxUsageCountsPerMessage)
       return { upTo: this.#changes, windows: byWindow(changed) };
     changed.sort((left, right) => left.changedAt - right.changedAt);
-    const first = changed.slice(0, constants.usageCountsMost);
+    const first = changed.slice(0, constants.maxUsageCountsPerMessage);
     return { upTo: first.at(-1)!.changedAt, windows: byWindow(first) };
   }
 
@@ -77,7 +77,7 @@
   forget(now: number): void {
     const current = this.windowAt(now);
     if (current === undefined || this.#windowLengthMs === undefined) return;
-    const retainedWindows = Math.ceil(constants.usageKept / this.#windowLengthMs);
+    const retainedWindows = Math.ceil(constants.usageRetentionMs / this.#windowLengthMs);
     for (const window of this.#windows.keys())
       if (Math.abs(window - current) > retainedWindows) this.#windows.delete(window);
   }
--- a/packages/data/src/usage/usage-reports.ts
+++ b/packages/data/src/usage/usage-reports.ts
@@ -60,7 +60,7 @@
   beat(now: number, areHeartbeatsSent: boolean): Send[] {
     const sends: Send[] = [];
     for (const [to, progress] of this.#controls) {
-      if (now - progress.heardAt > constants.sessionLasts) this.#controls.delete(to);
+      if (now - progress.heardAt > constants.sessionTimeoutMs) this.#controls.delete(to);
       else if (this.#isDue(progress, now, areHeartbeatsSent)) {
         progress.reportedAt = now;
         sends.push({ kind: "send", to, message: this.#messageSince(progress.acknowledged) });
@@ -76,7 +76,7 @@
     withHeartbeats: boolean,
   ): boolean {
     if (acknowledged >= this.#counter.changes) return false;
-    return withHeartbeats || now - reportedAt >= constants.usageTellEvery;
+    return withHeartbeats || now - reportedAt >= constants.usageReportIntervalMs;
   }
 
   #messageSince(since: number): UsageMessage {
--- a/packages/data/src/warm-up/sample-fleet.ts
+++ b/packages/data/src/warm-up/sample-fleet.ts
@@ -5,7 +5,7 @@
   type Passage,
   type Pool,
 } from "@chutewick/control";
-import type { RunnerCard, RunnerRegistry } from "@chutewick/parts";
+import type { RunnerDescriptor, RunnerRegistry } from "@chutewick/parts";
 import type { FleetView } from "../fleet-view.js";
 
 const POOL = "warm-up";
@@ -47,14 +47,14 @@
 export class SampleFleet implements FleetView {
   readonly configuration = sampleConfiguration();
   readonly registry: RunnerRegistry = { nodes: [], runners: [] };
-  #runners: readonly RunnerCard[];
+  #runners: readonly RunnerDescriptor[];
 
   /** @param addresses host:port of each runner */
   constructor(addresses: readonly string[]) {
     this.#runners = addresses.map(runnerAt);
   }
 
-  runners(): RunnerCard[] {
+  runners(): RunnerDescriptor[] {
     return [...this.#runners];
   }
 
@@ -71,7 +71,7 @@
   }
 }
 
-function runnerAt(address: string, index: number): RunnerCard {
+function runnerAt(address: string, index: number): RunnerDescriptor {
   return {
     id: `${POOL}-${index}`,
     incarnation: 1,
--- a/packages/data/src/warm-up/warm-up.ts
+++ b/packages/data/src/warm-up/warm-up.ts
@@ -8,11 +8,11 @@
 import { monotonic } from "@chutewick/shell";
 import type { AccessDesk, PassCaller } from "../access-desk.js";
 import { isForCaller, PassCallers } from "../caller-delivery.js";
-import { Choice } from "../choice.js";
-import type { PassEvent, PassRequest, RunnerDialect } from "../dialect.js";
+import { RunnerBalancer } from "../choice.js";
+import type { PassageEvent, PassageRequest, RunnerProtocol } from "../dialect.js";
 import type { Standing } from "../membership.js";
 import { PassConnections } from "../pass-link.js";
-import type { PassOutput } from "../pass.js";
+import type { PassageOutput } from "../pass.js";
 import { RelayCore } from "../relay-core.js";
 import { callOnce } from "./sample-caller.js";
 import { SampleFleet } from "./sample-fleet.js";
@@ -58,9 +58,9 @@
   #runners: SampleRunner[] = [];
   #callers = new PassCallers();
   #tickets = 0;
-  #protocol: RunnerDialect;
+  #protocol: RunnerProtocol;
 
-  constructor(protocol: RunnerDialect, sample: WarmUpSample) {
+  constructor(protocol: RunnerProtocol, sample: WarmUpSample) {
     this.#protocol = protocol;
     this.#sample = sample;
   }
@@ -101,15 +101,15 @@
       this.#runners.push(runner);
     }
     const fleet = new SampleFleet(addresses);
-    const balancer = new Choice(fleet, nodeIdentity);
-    const relay = new RelayCore(fleet, balancer, policy.usual);
-    const perform = (outputs: readonly PassOutput[]): void => {
+    const balancer = new RunnerBalancer(fleet, nodeIdentity);
+    const relay = new RelayCore(fleet, balancer, policy.defaults);
+    const perform = (outputs: readonly PassageOutput[]): void => {
       for (const output of outputs) this.#perform(output, connections);
     };
     const connections = new PassConnections({
       dialect: this.#protocol,
       mayStart: (attempt: number) => relay.mayStart(attempt, monotonic()),
-      told: (attempt: number, event: PassEvent) =>
+      told: (attempt: number, event: PassageEvent) =>
         perform(relay.goEvent(attempt, event, monotonic())),
       share: () => CONNECTIONS_PER_RUNNER,
       now: monotonic,
@@ -118,14 +118,14 @@
     return connections;
   }
 
-  #perform(output: PassOutput, connections: PassConnections): void {
+  #perform(output: PassageOutput, connections: PassConnections): void {
     if (output.kind === "pass-run") connections.run(output.go, output.address, output.work);
     else if (output.kind === "pass-abandon") connections.abandon(output.go);
     else if (isForCaller(output)) this.#callers.deliver(output);
   }
 
-  #api(relay: RelayCore, perform: (outputs: readonly PassOutput[]) => void): AccessDesk {
-    const pass = (request: PassRequest, caller: PassCaller): string => {
+  #api(relay: RelayCore, perform: (outputs: readonly PassageOutput[]) => void): AccessDesk {
+    const pass = (request: PassageRequest, caller: PassCaller): string => {
       this.#tickets += 1;
       const ticket = `warm-up-${this.#tickets}`;
       this.#callers.add(ticket, caller);
@@ -137,7 +137,7 @@
     };
     return {
       isReady: () => true,
-      callerLimits: () => callerLimits.withUsual(undefined),
+      callerLimits: () => callerLimits.withDefaults(undefined),
       takesLots: () => false,
       pass,
       left,
--- a/packages/data/src/weighted-choice.ts
+++ b/packages/data/src/weighted-choice.ts
@@ -3,7 +3,7 @@
  * proportional to its weight (Efraimidis and Spirakis, "Weighted random sampling with a reservoir",
  * 2006). The hash of a seed replaces the random number.
  */
-import { duty } from "@chutewick/parts";
+import { rendezvous } from "@chutewick/parts";
 
 /** Divisor that maps a 32-bit hash plus one into the open interval (0, 1). */
 const HASH_DIVISOR = 4_294_967_297;
@@ -14,6 +14,6 @@
  * @param weight greater than 0
  */
 export function weightedKey(seed: string, weight: number): number {
-  const uniform = (duty.spread(seed) + 1) / HASH_DIVISOR;
+  const uniform = (rendezvous.hash(seed) + 1) / HASH_DIVISOR;
   return Math.log(uniform) / weight;
 }
--- a/packages/parts/src/agreed-time.ts
+++ b/packages/parts/src/agreed-time.ts
@@ -2,7 +2,7 @@
 import { constants } from "./constants.js";
 
 /** A wall clock reading of a machine. */
-export interface ToldClock {
+export interface ClockReading {
   /** Machine that reported the reading. */
   readonly source: string;
   /** ms since the start of 1970. */
@@ -37,8 +37,8 @@
   #latest = Number.NEGATIVE_INFINITY;
 
   /** Records a reported wall clock; a reading that may be too old is ignored. */
-  heard({ source, wall, late }: ToldClock, now: number): void {
-    const isReadable = late >= 0 && late <= constants.toldClockLateMost;
+  recordReading({ source, wall, late }: ClockReading, now: number): void {
+    const isReadable = late >= 0 && late <= constants.maxReportedClockDelayMs;
     if (!isReadable) return;
     // On average the clock was read in the middle of the interval.
     this.#clocks.set(source, { offset: wall - now + late / 2, heardAt: now });
@@ -55,7 +55,8 @@
   at(now: number): number | undefined {
     if (this.#offset === undefined) return undefined;
     const time = now + this.#offset;
-    const isSmallStepBack = time < this.#latest && this.#latest - time <= constants.agreedTimeWaits;
+    const isSmallStepBack =
+      time < this.#latest && this.#latest - time <= constants.maxAgreedTimeHoldMs;
     if (!isSmallStepBack) this.#latest = time;
     return this.#latest;
   }
@@ -63,14 +64,14 @@
   #agree(now: number): void {
     this.#firstReadAt ??= now;
     for (const [source, { heardAt }] of this.#clocks)
-      if (now - heardAt > constants.toldClockLasts) this.#clocks.delete(source);
+      if (now - heardAt > constants.reportedClockRetentionMs) this.#clocks.delete(source);
     const offsets: number[] = [];
     for (const { offset } of this.#clocks.values()) offsets.push(offset);
-    if (offsets.length >= constants.clocksLeast) this.#agreedAt = now;
+    if (offsets.length >= constants.minAgreedClocks) this.#agreedAt = now;
     // For a while the monotonic clock is more reliable than one or two wall clocks, which may have been stepped.
-    else if (now - this.#agreedAt <= constants.agreedTimeStands) return;
+    else if (now - this.#agreedAt <= constants.agreedOffsetValidityMs) return;
     // A process that has just started may soon receive enough clocks; its own may have been stepped.
-    else if (now - this.#firstReadAt < constants.clocksAwaited) return;
+    else if (now - this.#firstReadAt < constants.clockWaitMs) return;
     else if (this.#ownOffset !== undefined) offsets.push(this.#ownOffset);
     this.#offset = medianOffset(this.#offset, offsets);
   }
--- a/packages/parts/src/bucket.ts
+++ b/packages/parts/src/bucket.ts
@@ -81,9 +81,9 @@
 
 export const bucket = {
   full,
-  level: tokensAt,
+  tokensAt: tokensAt,
   draw,
-  relimit: changeLimits,
+  changeLimits: changeLimits,
   restore,
   rate,
 };
--- a/packages/parts/src/caller-limits.ts
+++ b/packages/parts/src/caller-limits.ts
@@ -13,10 +13,10 @@
 }
 
 const defaultLimits: CallerLimits = {
-  headerBytes: constants.passHeadersMost,
-  bodyBytes: constants.passBodyMost,
-  headerWait: constants.passHeaderWait,
-  idleWait: constants.passIdle,
+  headerBytes: constants.maxPassHeaderBytes,
+  bodyBytes: constants.maxPassBodyBytes,
+  headerWait: constants.passHeaderTimeoutMs,
+  idleWait: constants.passIdleTimeoutMs,
 };
 
 /** Configured limits, completed by the defaults. */
@@ -24,4 +24,4 @@
   return configured === undefined ? defaultLimits : { ...defaultLimits, ...configured };
 }
 
-export const callerLimits = { usual: defaultLimits, withUsual: withDefaults };
+export const callerLimits = { defaults: defaultLimits, withDefaults: withDefaults };
--- a/packages/parts/src/chain.ts
+++ b/packages/parts/src/chain.ts
@@ -3,7 +3,7 @@
  * durable, and the tail commits them (docs/design.md §1).
  */
 import { constants } from "./constants.js";
-import { Ledger, type Change, type Machine } from "./ledger.js";
+import { Ledger, type Change, type StateMachine } from "./ledger.js";
 
 /** A machine that takes part in replication. */
 export interface Member {
@@ -29,7 +29,7 @@
 }
 
 /** A command in the log. */
-export interface Entry {
+export interface LogEntry {
   /** Log index of the entry. */
   readonly place: number;
   /** Ledger time, in ms, assigned by the head (docs/design.md §3.2). */
@@ -42,7 +42,7 @@
  * sender.
  */
 export type ChainMessage = { readonly chain: string; readonly mark: number } & (
-  | { readonly kind: "entries"; readonly entries: readonly Entry[]; readonly confirmed: number }
+  | { readonly kind: "entries"; readonly entries: readonly LogEntry[]; readonly confirmed: number }
   /** Acknowledgement: the sender has all entries up to `place` synced to disk. */
   | { readonly kind: "taken"; readonly place: number; readonly confirmed: number }
   /** All entries up to `place` are committed. */
@@ -72,7 +72,7 @@
   /** Whether all earlier records and entries of the chain are deleted first. */
   readonly clear: boolean;
   readonly changes: readonly Change[];
-  readonly entries: readonly Entry[];
+  readonly entries: readonly LogEntry[];
   /** Log indexes of the entries to delete. */
   readonly drop: readonly number[];
   readonly state: ChainState;
@@ -90,10 +90,10 @@
 }
 
 /** Persisted state of a chain, as read from the data folder. */
-export interface ChainHolding {
+export interface PersistedChain {
   readonly state: ChainState;
   readonly records: readonly Change[];
-  readonly entries: readonly Entry[];
+  readonly entries: readonly LogEntry[];
 }
 
 /** Effects that the chain requests from its host. */
@@ -145,7 +145,7 @@
 export class Chain {
   readonly name: string;
   readonly ledger = new Ledger();
-  readonly machine: Machine;
+  readonly machine: StateMachine;
   #self: Member;
   #view: ChainView | undefined;
   /** Epoch of the last view that is synced to disk. */
@@ -157,7 +157,7 @@
   #commitIndex = 0;
   #ledgerTime = 0;
   #ledgerTimeSetAt: number;
-  #entries: Entry[] = [];
+  #entries: LogEntry[] = [];
   #changesByIndex = new Map<number, readonly Change[]>();
   /** Index of the last entry sent to the successor, and of the last that it acknowledged as durable. */
   #sentIndex = 0;
@@ -216,9 +216,9 @@
   constructor(
     name: string,
     self: Member,
-    machine: Machine,
+    machine: StateMachine,
     now: number,
-    persisted?: ChainHolding,
+    persisted?: PersistedChain,
     minimumCopies: number = constants.copiesLeast,
   ) {
     this.#minimumCopies = minimumCopies;
@@ -229,7 +229,7 @@
     this.#ackedAt = now;
     this.#lastProgressAt = now;
     if (persisted !== undefined) {
-      this.ledger.adopt(persisted.records);
+      this.ledger.applyChanges(persisted.records);
       this.#view = persisted.state.view;
       this.#durableEpoch = persisted.state.view.mark;
       this.#lastIndex = persisted.state.place;
@@ -296,22 +296,22 @@
   }
 
   /** The replica that slows the chain down: the successor, the learner, or this replica because of its disk (docs/design.md §3.4). */
-  stuck(now: number): Member | undefined {
+  slowReplica(now: number): Member | undefined {
     for (const write of this.#writes.values()) {
-      if (now - write.at > constants.slowAfter) return this.#self;
+      if (now - write.at > constants.slowReplicaTimeoutMs) return this.#self;
     }
     const successor = this.#successor;
     if (
       successor !== undefined &&
       this.#ackedIndex < this.#sentIndex &&
-      now - this.#ackedAt > constants.slowAfter
+      now - this.#ackedAt > constants.slowReplicaTimeoutMs
     )
       return successor;
     if (
       this.#learnerGatesCommit &&
       this.#learnerAckedIndex < this.#durableIndex &&
       this.#commitIndex < this.#durableIndex &&
-      now - this.#learnerAckedAt > constants.slowAfter
+      now - this.#learnerAckedAt > constants.slowReplicaTimeoutMs
     )
       return this.#view!.joiner;
     return undefined;
@@ -380,7 +380,7 @@
   #write(
     clear: boolean,
     changes: readonly Change[],
-    entries: readonly Entry[],
+    entries: readonly LogEntry[],
     drop: readonly number[],
     now: number,
   ): ChainCommand {
@@ -415,12 +415,12 @@
   }
 
   /** Executes a request at the head: one that changes records becomes a log entry, any other is a read that probes the whole chain. */
-  inquire(ticket: string, command: unknown, now: number): ChainCommand[] {
+  execute(ticket: string, command: unknown, now: number): ChainCommand[] {
     if (!this.serves)
       return [{ kind: "result", ticket, result: { kind: "elsewhere", view: this.#view } }];
     const time = this.time(now);
     const value = this.machine.apply(this.ledger, command, time);
-    const changes = this.ledger.takeChanges();
+    const changes = this.ledger.drainChanges();
     if (changes.length === 0) {
       this.#probeNumber += 1;
       const probe: Probe = {
@@ -434,12 +434,12 @@
       return [this.#send(this.#successor!, { kind: "probe", number: probe.number })];
     }
     this.#lastIndex += 1;
-    const entry: Entry = { place: this.#lastIndex, time, command };
+    const entry: LogEntry = { place: this.#lastIndex, time, command };
     this.#waiters.push({ ticket, place: entry.place, value });
     return [this.#append(entry, changes, now)];
   }
 
-  #append(entry: Entry, changes: readonly Change[], now: number): ChainCommand {
+  #append(entry: LogEntry, changes: readonly Change[], now: number): ChainCommand {
     this.#ledgerTime = entry.time;
     this.#ledgerTimeSetAt = now;
     if (this.#entries.length === 0) this.#lastProgressAt = now;
@@ -458,7 +458,7 @@
   }
 
   /** Called when the write with this ticket is durable. */
-  written(ticket: number, now: number): ChainCommand[] {
+  writeCompleted(ticket: number, now: number): ChainCommand[] {
     const write = this.#writes.get(ticket);
     if (write === undefined) return [];
     this.#writes.delete(ticket);
@@ -533,15 +533,15 @@
   }
 
   /** Durable entries after an index, up to the size limit of a message but at least one (docs/design.md §1.7). */
-  #entriesAfter(after: number): Entry[] {
-    const entries: Entry[] = [];
+  #entriesAfter(after: number): LogEntry[] {
+    const entries: LogEntry[] = [];
     let bytes = 0;
     for (const entry of this.#entries) {
       if (entry.place <= after || entry.place > this.#durableIndex) continue;
       bytes += estimateBytes(entry.command);
       if (
-        entries.length === constants.entriesInMessage ||
-        (entries.length > 0 && bytes > constants.messageWeight)
+        entries.length === constants.maxEntriesPerMessage ||
+        (entries.length > 0 && bytes > constants.targetMessageBytes)
       )
         break;
       entries.push(entry);
@@ -659,7 +659,7 @@
     return position < 0 && isSameMember(view.joiner, this.#self) ? view.members.at(-1) : undefined;
   }
 
-  #receiveEntries(entries: readonly Entry[], from: string, now: number): ChainCommand[] {
+  #receiveEntries(entries: readonly LogEntry[], from: string, now: number): ChainCommand[] {
     const source = this.#source;
     if (source === undefined || source.address !== from) return [];
     // While a snapshot is being received, later entries are ignored; they are requested after it.
@@ -675,7 +675,7 @@
         return [...commands, this.#send(source, { kind: "want", place: this.#lastIndex })];
       this.machine.apply(this.ledger, entry.command, entry.time);
       this.#lastIndex = entry.place;
-      commands.push(this.#append(entry, this.ledger.takeChanges(), now));
+      commands.push(this.#append(entry, this.ledger.drainChanges(), now));
     }
     if (commands.length === 0) {
       commands.push(
@@ -717,7 +717,7 @@
       ackedIndex === this.#successorReportedIndex &&
       ackedIndex + 1 < this.#firstRetainedIndex &&
       this.#outgoingSnapshot === undefined &&
-      now - this.#successorReportedAt > constants.resendAfter * 2
+      now - this.#successorReportedAt > constants.resendDelayMs * 2
     ) {
       this.#successorReportedAt = now;
       return this.#receiveEntriesRequest(ackedIndex, from, now);
@@ -809,7 +809,8 @@
     const sent = this.#sendEntriesToLearner(learner);
     this.#learnerRequests += 1;
     const isCloseBehind =
-      this.#learnerSentIndex >= this.#durableIndex || this.#learnerRequests > constants.joinerAsks;
+      this.#learnerSentIndex >= this.#durableIndex ||
+      this.#learnerRequests > constants.learnerRequestsBeforeThrottling;
     if (!isCloseBehind && !this.#learnerGatesCommit) return sent;
     if (!this.#learnerGatesCommit) this.#learnerAckedAt = now;
     this.#learnerGatesCommit = true;
@@ -868,8 +869,8 @@
     const upTo = Math.min(
       pieces.length,
       sending.sendsNoAcks
-        ? sending.sent + constants.snapshotPiecesEachBeat
-        : sending.acknowledged.size + constants.snapshotPiecesOut,
+        ? sending.sent + constants.maxSnapshotPiecesPerTick
+        : sending.acknowledged.size + constants.maxSnapshotPiecesInFlight,
     );
     for (; sending.sent < upTo; sending.sent += 1)
       commands.push(this.#send(to, pieces[sending.sent]!));
@@ -904,7 +905,7 @@
   #resendPieces(now: number): ChainCommand[] {
     const sending = this.#outgoingSnapshot;
     if (sending === undefined || sending.sendsNoAcks) return this.#sendPieces();
-    if (now - sending.at < constants.resendAfter * (sending.acknowledged.size === 0 ? 6 : 2))
+    if (now - sending.at < constants.resendDelayMs * (sending.acknowledged.size === 0 ? 6 : 2))
       return [];
     sending.at = now;
     const commands: ChainCommand[] = [];
@@ -953,7 +954,7 @@
     const records: Change[] = [];
     for (let part = 0; part <= parts.last; part += 1) records.push(...parts.pieces.get(part)!);
     this.ledger.clear();
-    this.ledger.adopt(records);
+    this.ledger.applyChanges(records);
     this.machine.rebuild(this.ledger);
     this.#entries = [];
     this.#changesByIndex.clear();
@@ -967,27 +968,27 @@
     return [ack, this.#write(true, records, [], [], now)];
   }
 
-  beat(now: number): ChainCommand[] {
+  tick(now: number): ChainCommand[] {
     if (this.#view === undefined || !this.#isViewDurable) return [];
     const commands: ChainCommand[] = this.#resendPieces(now);
-    const isOverdue = now - this.#lastProgressAt > constants.resendAfter;
+    const isOverdue = now - this.#lastProgressAt > constants.resendDelayMs;
     const source = this.#source;
     const isLearner = isSameMember(this.#view.joiner, this.#self);
     // The sender of the snapshot stopped sending, for example because it restarted: request a new snapshot.
     if (
       this.#incomingSnapshot !== undefined &&
-      now - this.#incomingSnapshot.at > constants.resendAfter * 8
+      now - this.#incomingSnapshot.at > constants.resendDelayMs * 8
     ) {
       this.#incomingSnapshot = undefined;
       commands.push(this.#send(source!, { kind: "want", place: this.#lastIndex }));
     }
-    if (isLearner && this.#copiedEpoch > 0 && now - this.#caughtUpAt > constants.resendAfter * 4)
+    if (isLearner && this.#copiedEpoch > 0 && now - this.#caughtUpAt > constants.resendDelayMs * 4)
       this.#copiedEpoch = 0;
     if (
       isLearner &&
       this.#incomingSnapshot === undefined &&
       this.#writes.size === 0 &&
-      now - this.#lastProgressAt > constants.resendAfter
+      now - this.#lastProgressAt > constants.resendDelayMs
     ) {
       this.#lastProgressAt = now;
       if (this.#durableIndex > 0)
@@ -1007,12 +1008,12 @@
       if (successor !== undefined && this.#durableIndex > this.#ackedIndex)
         commands.push(...this.#resendEntries(successor, this.#ackedIndex, now));
       for (const probe of this.#probes.values()) {
-        if (now - probe.sentAt < constants.resendAfter) continue;
+        if (now - probe.sentAt < constants.resendDelayMs) continue;
         probe.sentAt = now;
         commands.push(this.#send(successor!, { kind: "probe", number: probe.number }));
       }
     }
-    if (this.position > 0 && now - this.#lastReportAt > constants.resendAfter * 2) {
+    if (this.position > 0 && now - this.#lastReportAt > constants.resendDelayMs * 2) {
       this.#lastReportAt = now;
       if (this.#isTail && this.#durableIndex > this.#commitIndex)
         commands.push(...this.#propagate(now));
@@ -1029,7 +1030,7 @@
   }
 
   /** The complete state as it would be persisted, for tests and snapshots of control state. */
-  holding(): ChainHolding | undefined {
+  persistedState(): PersistedChain | undefined {
     if (this.#view === undefined) return undefined;
     return {
       state: {
@@ -1081,8 +1082,8 @@
     const recordBytes = estimateBytes(record);
     const piece = pieces.at(-1)!;
     if (
-      piece.length === constants.snapshotPiece ||
-      (piece.length > 0 && bytes + recordBytes > constants.messageWeight)
+      piece.length === constants.snapshotPieceRecords ||
+      (piece.length > 0 && bytes + recordBytes > constants.targetMessageBytes)
     ) {
       pieces.push([record]);
       bytes = recordBytes;
@@ -1129,7 +1130,7 @@
 }
 
 /** Set of the identities that are reachable. */
-export interface Presence {
+export interface IdentitySet {
   has(identity: string): boolean;
 }
 
@@ -1137,7 +1138,7 @@
  * The reachable replicas of a view that can form the next one, in chain order. Members that copied from the holders count only while
  * exactly the holders that are members are reachable (docs/design.md §1.5).
  */
-export function presentOf(view: ChainView, reachable: Presence): Member[] {
+export function reachableReplicas(view: ChainView, reachable: IdentitySet): Member[] {
   const present: Member[] = [];
   const copied: Member[] = [];
   let sameHolders = true;
@@ -1156,7 +1157,7 @@
   return member.identity === this.identity;
 }
 
-function isAfter(this: { place: number }, entry: Entry): boolean {
+function isAfter(this: { place: number }, entry: LogEntry): boolean {
   return entry.place > this.place;
 }
 
--- a/packages/parts/src/control-peers.ts
+++ b/packages/parts/src/control-peers.ts
@@ -1,7 +1,7 @@
 /** Control machines as one of them observes them: identity, address, and who receives whose heartbeats (docs/design.md §2.3). */
 import type { ChainView, Member } from "./chain.js";
 import { constants } from "./constants.js";
-import type { Greeting } from "./view-messages.js";
+import type { ControlHeartbeat } from "./view-messages.js";
 
 /** State of a control machine by its newest heartbeat. */
 export interface ControlPeer {
@@ -42,14 +42,14 @@
   }
 
   /** Records a heartbeat; returns false where it is this machine's own, or of an identity that was replaced at its address. */
-  greeted(message: Greeting, now: number): boolean {
+  recordHeartbeat(message: ControlHeartbeat, now: number): boolean {
     const { member } = message;
     const { identity } = member;
     if (identity === this.#self.identity) return false;
     // Of two identities at one address the one that keeps sending heartbeats is alive; a heartbeat of the other may have
     // been buffered here.
     const replacedAt = this.#replacedAt.get(identity) ?? Number.NEGATIVE_INFINITY;
-    if (now - replacedAt <= constants.memberSilence) return false;
+    if (now - replacedAt <= constants.memberSilenceTimeoutMs) return false;
     this.#replacedAt.delete(identity);
     this.#replaceOthersAt(member, now);
     this.#peers.set(identity, {
@@ -73,14 +73,14 @@
   }
 
   /** Removes peers that have been silent for long. */
-  forget(now: number): void {
+  removeExpired(now: number): void {
     for (const [identity, { heardAt }] of this.#peers)
-      if (now - heardAt > constants.memberSilence * RETENTION_SILENCES)
+      if (now - heardAt > constants.memberSilenceTimeoutMs * RETENTION_SILENCES)
         this.#peers.delete(identity);
   }
 
   /** Whether heartbeats pass in both directions. A peer that does not receive those of this machine counts as silent, or a one-way partition would block the chain forever (docs/design.md §2.3). */
-  heardWithin(identity: string, within: number, now: number): boolean {
+  isInContactWithin(identity: string, within: number, now: number): boolean {
     if (identity === this.#self.identity) return true;
     const peer = this.#peers.get(identity);
     if (peer === undefined || now - peer.heardAt > within) return false;
@@ -88,34 +88,35 @@
   }
 
   /** Those of the members that are in contact. */
-  alive(members: readonly Member[], now: number): Member[] {
+  membersInContact(members: readonly Member[], now: number): Member[] {
     const found: Member[] = [];
     for (const member of members)
-      if (this.heardWithin(member.identity, constants.memberSilence, now)) found.push(member);
+      if (this.isInContactWithin(member.identity, constants.memberSilenceTimeoutMs, now))
+        found.push(member);
     return found;
   }
 
   /** The peer that currently uses an address. */
-  at(address: string, now: number): ControlPeer | undefined {
+  peerAt(address: string, now: number): ControlPeer | undefined {
     for (const peer of this.#peers.values()) {
       const { identity } = peer.member;
       if (peer.member.address !== address || this.#replacedAt.has(identity)) continue;
-      if (now - peer.heardAt <= constants.memberSilence) return peer;
+      if (now - peer.heardAt <= constants.memberSilenceTimeoutMs) return peer;
     }
     return undefined;
   }
 
   /** Identities with a recent heartbeat, as reported in this machine's own heartbeats. */
-  heardLately(now: number): string[] {
+  identitiesInContact(now: number): string[] {
     const found: string[] = [];
     for (const [identity, { heardAt }] of this.#peers)
-      if (now - heardAt <= constants.memberSilence) found.push(identity);
+      if (now - heardAt <= constants.memberSilenceTimeoutMs) found.push(identity);
     return found;
   }
 
   /** Peers that could join the view. */
-  joinable(now: number): ControlPeer[] {
-    const maxSilence = constants.greetEvery * MAX_MISSED_HEARTBEATS_OF_CANDIDATE;
+  joinCandidates(now: number): ControlPeer[] {
+    const maxSilence = constants.controlHeartbeatIntervalMs * MAX_MISSED_HEARTBEATS_OF_CANDIDATE;
     const found: ControlPeer[] = [];
     for (const peer of this.#peers.values()) {
       const isInContact = now - peer.heardAt < maxSilence;
@@ -126,8 +127,8 @@
   }
 
   /** Whether every live member receives heartbeats of an identity; otherwise it would be voted out as soon as it joined. */
-  isHeardByAll(identity: string, { members }: ChainView, now: number): boolean {
-    for (const member of this.alive(members, now))
+  isInContactWithAll(identity: string, { members }: ChainView, now: number): boolean {
+    for (const member of this.membersInContact(members, now))
       if (this.#peers.get(member.identity)?.hears?.includes(identity) === false) return false;
     return true;
   }
--- a/packages/parts/src/disk-health.ts
+++ b/packages/parts/src/disk-health.ts
@@ -10,7 +10,7 @@
   #stalled = false;
   #commitSince: number | undefined;
   #lastTickAt: number | undefined;
-  #retryDelay: number = constants.diskRetryLeast;
+  #retryDelay: number = constants.minDiskRetryMs;
   #maxBatchWrites = Number.POSITIVE_INFINITY;
   #recoveredAt = Number.NEGATIVE_INFINITY;
 
@@ -20,17 +20,17 @@
   }
 
   /** Records that a commit was passed to the disk. */
-  began(now: number): void {
+  commitStarted(now: number): void {
     this.#commitSince = now;
   }
 
   /** Maximum number of writes in the next commit: one after a failed commit, then doubled with each success. */
-  get batchMost(): number {
+  get maxBatchWrites(): number {
     return this.#maxBatchWrites;
   }
 
   /** Records that the commit in progress is durable; a failing disk counts as writable once all waiting writes are done. */
-  committed(now: number, isDrained: boolean): void {
+  commitSucceeded(now: number, isDrained: boolean): void {
     this.#commitSince = undefined;
     this.#stalled = false;
     if (!this.#failing) return;
@@ -42,25 +42,25 @@
   }
 
   /** Records that the commit in progress failed; returns the delay in ms before the next attempt. */
-  failed(now: number): number {
+  commitFailed(now: number): number {
     this.#commitSince = undefined;
     this.#stalled = false;
-    const isRelapse = now - this.#recoveredAt < constants.diskSettles;
-    if (!this.#failing && !isRelapse) this.#retryDelay = constants.diskRetryLeast;
+    const isRelapse = now - this.#recoveredAt < constants.diskSettlingMs;
+    if (!this.#failing && !isRelapse) this.#retryDelay = constants.minDiskRetryMs;
     this.#failing = true;
     this.#maxBatchWrites = 1;
     const delay = this.#retryDelay;
-    this.#retryDelay = Math.min(this.#retryDelay * 2, constants.diskRetryMost);
+    this.#retryDelay = Math.min(this.#retryDelay * 2, constants.maxDiskRetryMs);
     return delay;
   }
 
   /** Checks the commit in progress for a stall. Time in which this process was suspended does not count. */
-  beat(now: number): void {
+  tick(now: number): void {
     const wasSuspended =
-      this.#lastTickAt !== undefined && now - this.#lastTickAt > constants.sleptLeast;
+      this.#lastTickAt !== undefined && now - this.#lastTickAt > constants.minSuspensionMs;
     this.#lastTickAt = now;
     if (this.#commitSince === undefined) return;
     if (wasSuspended) this.#commitSince = now;
-    if (now - this.#commitSince >= constants.diskStallAfter) this.#stalled = true;
+    if (now - this.#commitSince >= constants.diskStallTimeoutMs) this.#stalled = true;
   }
 }
--- a/packages/parts/src/duty-bounds.ts
+++ b/packages/parts/src/duty-bounds.ts
@@ -21,4 +21,4 @@
   return Math.min(MAX_ROUND_VALIDITY_MS, (lease - thawSlack) / 3);
 }
 
-export const dutyBounds = { freshFor: roundValidity };
+export const dutyBounds = { roundValidityMs: roundValidity };
--- a/packages/parts/src/feed.ts
+++ b/packages/parts/src/feed.ts
@@ -15,7 +15,7 @@
 }
 
 /** Maps a record to the value that followers receive, or to undefined if it is not published. */
-export type Published = (key: string, value: unknown) => unknown;
+export type PublishFilter = (key: string, value: unknown) => unknown;
 
 /** Keys changed at one feed index. */
 interface ChangedKeys {
@@ -36,9 +36,9 @@
   #lastChangedAt = new Map<string, number>();
   /** Messages built since the last change, by the feed index that they start after. */
   #builtMessages = new Map<number, FeedMessage>();
-  #toPublishedValue: Published;
+  #toPublishedValue: PublishFilter;
 
-  constructor(published: Published = publishUnchanged) {
+  constructor(published: PublishFilter = publishUnchanged) {
     this.#toPublishedValue = published;
   }
 
@@ -58,7 +58,7 @@
   }
 
   /** Appends the changes made at the next feed index; ignores any other index. */
-  take(feedIndex: number, changes: readonly Change[]): void {
+  append(feedIndex: number, changes: readonly Change[]): void {
     if (feedIndex !== this.#feedIndex + 1) return;
     this.#feedIndex = feedIndex;
     this.#builtMessages.clear();
@@ -70,7 +70,7 @@
       this.#lastChangedAt.set(key, feedIndex);
     }
     this.#recent.push({ place: feedIndex, keys: changed });
-    if (this.#recent.length > constants.feedKept) this.#dropOldest();
+    if (this.#recent.length > constants.feedRetentionEntries) this.#dropOldest();
   }
 
   /** Replaces all records; followers that are behind then receive a snapshot. */
@@ -85,7 +85,7 @@
   }
 
   /** The message that a follower at a feed index still needs, or undefined if it is up to date. */
-  since(feedIndex: number): FeedMessage | undefined {
+  messageAfter(feedIndex: number): FeedMessage | undefined {
     if (feedIndex >= this.#feedIndex) return undefined;
     const message = this.#builtMessages.get(feedIndex) ?? this.#buildMessage(feedIndex);
     this.#builtMessages.set(feedIndex, message);
--- a/packages/parts/src/ledger.ts
+++ b/packages/parts/src/ledger.ts
@@ -23,7 +23,7 @@
   }
 
   /** Returns the changes since the last call, each key once with its newest value. */
-  takeChanges(): Change[] {
+  drainChanges(): Change[] {
     const changes: Change[] = [];
     for (const key of this.#changed) changes.push([key, this.#records.get(key)]);
     this.#changed.clear();
@@ -31,7 +31,7 @@
   }
 
   /** Applies changes read from disk or received from another replica, without tracking them as new changes. */
-  adopt(changes: Iterable<Change>): void {
+  applyChanges(changes: Iterable<Change>): void {
     for (const [key, value] of changes) {
       if (value === undefined || value === null) this.#records.delete(key);
       else this.#records.set(key, value);
@@ -60,7 +60,7 @@
 }
 
 /** Deterministic state machine over a ledger, replicated by a chain. */
-export interface Machine {
+export interface StateMachine {
   /** Applies a command at the ledger time assigned by the head; a command that changes no records is a read. */
   apply(ledger: Ledger, command: unknown, time: number): unknown;
   /** Rebuilds derived state after the records were loaded from disk or from another replica. */
--- a/packages/parts/src/lot-messages.ts
+++ b/packages/parts/src/lot-messages.ts
@@ -63,7 +63,7 @@
   /** Dequeues one item. `unable`: seasons whose runners have no free capacity as seen by the dispatcher; their lots stay queued. */
   | { kind: "pop"; holder: string; unable?: readonly string[] }
   /** Ends a claim. */
-  | { kind: "record"; lot: string; index: number; go: number; ending: Ending }
+  | { kind: "record"; lot: string; index: number; go: number; ending: ClaimEnding }
   | { kind: "cancel"; lot: string }
   /** Requeues items whose claims lost their dispatcher. */
   | { kind: "reset"; items: { lot: string; index: number; go: number }[] }
@@ -73,7 +73,7 @@
   | PassCommand;
 
 /** How a claim ended. */
-export type Ending =
+export type ClaimEnding =
   | { kind: "solved"; result: unknown }
   /** The runner itself reported a failure; the item fails after three such attempts. */
   | { kind: "trouble"; reason: string }
--- a/packages/parts/src/lot-records.ts
+++ b/packages/parts/src/lot-records.ts
@@ -53,7 +53,7 @@
 export function isExpired(lot: Lot, time: number): boolean {
   return lot.finishedAt === undefined
     ? lot.deadline <= time
-    : lot.finishedAt + constants.lotKept <= time;
+    : lot.finishedAt + constants.lotResultRetentionMs <= time;
 }
 
 /** The result for a lot that ended and whose results were deleted. */
--- a/packages/parts/src/lot-shares.ts
+++ b/packages/parts/src/lot-shares.ts
@@ -44,7 +44,7 @@
 }
 
 /** The first class that selects a lot by its labels. */
-export function governs(
+export function governingClass(
   share: Share | undefined,
   labels: Readonly<Record<string, string>>,
 ): ShareClass | undefined {
--- a/packages/parts/src/lot.ts
+++ b/packages/parts/src/lot.ts
@@ -1,6 +1,6 @@
 import { bucket, type Bucket } from "./bucket.js";
 import { constants } from "./constants.js";
-import type { Ledger, Machine } from "./ledger.js";
+import type { Ledger, StateMachine } from "./ledger.js";
 import type { Item, Lot, QueueCommand, QueueResult } from "./lot-messages.js";
 import {
   endedAt,
@@ -15,7 +15,7 @@
   type OpenItem,
   type LotTombstone,
 } from "./lot-records.js";
-import { classesOf, governs, sameLimits, seasonCharged, type Share } from "./lot-shares.js";
+import { classesOf, governingClass, sameLimits, seasonCharged, type Share } from "./lot-shares.js";
 import type { PassCommand } from "./pass-messages.js";
 import { PassQueue } from "./pass-queue.js";
 import { passReads } from "./pass-reads.js";
@@ -39,7 +39,7 @@
  * The replicated state machine of one queue: its token bucket, lots (batch jobs), their items and results. The queue's owner
  * applies each command atomically (docs/design.md §3, §5).
  */
-export class QueueMachine implements Machine {
+export class QueueMachine implements StateMachine {
   /** Queued items by season; derived from the ledger. */
   #waiting = new WaitingItems<WaitingItem>();
   /** Number of unfinished items by lot. */
@@ -51,10 +51,10 @@
   #lots = new Set<string>();
   #tombstones = new Tombstones<LotTombstone>("gone/", endedAt);
   /** Lots that were submitted on passages; they share the bucket and the sequence numbers (docs/design.md §13.7). */
-  readonly passes = new PassQueue();
+  readonly passQueue = new PassQueue();
 
   rebuild(ledger: Ledger): void {
-    this.passes.rebuild(ledger);
+    this.passQueue.rebuild(ledger);
     this.#waiting.clear();
     this.#openByLot.clear();
     this.#processing.clear();
@@ -83,11 +83,11 @@
   }
 
   get waiting(): number {
-    return this.passes.waiting + this.#waiting.size;
+    return this.passQueue.waiting + this.#waiting.size;
   }
 
   /** Number of unfinished items (queued, or claimed and possibly requeued) by the season whose share they count against. */
-  open(): Map<string, number> {
+  openItemsBySeason(): Map<string, number> {
     const counts = new Map<string, number>();
     for (const [lot, count] of this.#openByLot) {
       const season = this.#seasonByLot.get(lot) ?? "";
@@ -107,12 +107,12 @@
   }
 
   /** Whether `expire` has something to do: a deadline has passed, or the retention of results or tombstones has ended. */
-  due(ledger: Ledger, time: number): boolean {
+  isExpiryDue(ledger: Ledger, time: number): boolean {
     for (const id of this.#lots) {
       const lot = ledger.read<Lot>(lotKey(id));
       if (lot !== undefined && isExpired(lot, time)) return true;
     }
-    return this.#tombstones.isDue(time) || this.passes.isExpiryDue(time);
+    return this.#tombstones.hasExpired(time) || this.passQueue.isExpiryDue(time);
   }
 
   apply(ledger: Ledger, input: unknown, time: number): QueueResult {
@@ -145,15 +145,15 @@
   #applyPass(context: Context, command: PassCommand): QueueResult {
     switch (command.kind) {
       case "hand-in":
-        return this.passes.submit(context, command);
+        return this.passQueue.submit(context, command);
       case "draw":
-        return this.passes.dequeue(context, command);
+        return this.passQueue.dequeue(context, command);
       case "settle":
-        return this.passes.settle(context, command);
+        return this.passQueue.settle(context, command);
       case "end":
-        return this.passes.end(context, command);
+        return this.passQueue.end(context, command);
       case "drop-way":
-        return this.passes.dropPassage(context, command.way);
+        return this.passQueue.dropPassage(context, command.way);
       case "results":
         return passReads.results(context.ledger, command);
       case "read-item":
@@ -169,7 +169,7 @@
     if (previous === undefined || current === undefined)
       ledger.put(bucketKey, bucket.full(command.limits, time));
     else if (!sameLimits(previous.limits, command.limits))
-      ledger.put(bucketKey, bucket.relimit(current, previous.limits, command.limits, time));
+      ledger.put(bucketKey, bucket.changeLimits(current, previous.limits, command.limits, time));
     ledger.put(limitsKey, {
       limits: command.limits,
       share: command.share,
@@ -183,11 +183,11 @@
   #submit(context: Context, command: SubmitCommand): QueueResult {
     const known = this.#findKnownLot(context, command);
     if (known !== undefined) return known;
-    const governing = governs(this.share(context.ledger), command.labels);
+    const governing = governingClass(this.share(context.ledger), command.labels);
     const share = governing?.share ?? 0;
     const allowance = governing?.season === "" ? Math.min(command.allowance, share) : share;
     const season = governing?.season ?? "";
-    const waiting = this.open().get(season) ?? 0;
+    const waiting = this.openItemsBySeason().get(season) ?? 0;
     const items = command.prompts.length;
     if (waiting + items > allowance) {
       const wait = this.#estimateWait(context, items, waiting, allowance);
@@ -223,7 +223,7 @@
       open: command.prompts.length,
       cancelled: false,
       admittedAt: time,
-      deadline: time + command.lasts + constants.deadlineGrace,
+      deadline: time + command.lasts + constants.deadlineGraceMs,
       labels: command.labels,
       season,
       ...(runners.length === 0 ? {} : { runners }),
@@ -262,7 +262,7 @@
     const rate = bucket.rate(limited.limits);
     if (rate <= 0) return undefined;
     const toDequeue = open - this.#processing.size + items - allowance;
-    const level = bucket.level(limited.held, limited.limits, time);
+    const level = bucket.tokensAt(limited.held, limited.limits, time);
     return Math.max(0, (toDequeue - level) / rate) * 1_000;
   }
 
@@ -321,7 +321,7 @@
     if (ending.kind === "unsent") restoreToken(context);
     const troubles = item.troubles + (ending.kind === "trouble" ? 1 : 0);
     const open: OpenItem = { key, item: { ...item, troubles } };
-    if (ending.kind === "trouble" && troubles >= constants.troublesMost)
+    if (ending.kind === "trouble" && troubles >= constants.maxFailedAttempts)
       return this.#finish(context, open, { state: "failed", reason: ending.reason });
     return this.#requeue(context, open, lot);
   }
@@ -331,7 +331,7 @@
     if (lot.cancelled) return this.#finish(context, open, { state: "cancelled" });
     const { key, item } = open;
     context.ledger.put(key, { ...item, state: "queued", holder: undefined });
-    this.#waiting.giveBack(lot.season ?? "", { sequence: item.sequence, key });
+    this.#waiting.reinsert(lot.season ?? "", { sequence: item.sequence, key });
     return { kind: "RECORDED", state: "queued" };
   }
 
@@ -365,7 +365,7 @@
     const { ledger } = context;
     const season = ledger.read<Lot>(lotKey(id))!.season ?? "";
     const ended = new Set<string>();
-    for (const { key } of this.#waiting.of(season)) {
+    for (const { key } of this.#waiting.itemsOf(season)) {
       const item = ledger.read<Item>(key)!;
       if (item.lot !== id) continue;
       this.#finish(context, { key, item }, final);
@@ -397,7 +397,7 @@
   /** Fails the lots past their deadline and deletes records past their retention. */
   #expire(context: Context): QueueResult {
     const { ledger, time } = context;
-    let count = this.passes.expire(context);
+    let count = this.passQueue.expire(context);
     for (const id of [...this.#lots]) {
       const lot = ledger.read<Lot>(lotKey(id))!;
       if (!isExpired(lot, time)) continue;
@@ -405,7 +405,7 @@
       if (lot.finishedAt === undefined) this.#failOpenItems(context, lot);
       else this.#replaceWithTombstone(ledger, lot, lot.finishedAt);
     }
-    return { kind: "DONE", count: count + this.#tombstones.forgetDue(ledger, time) };
+    return { kind: "DONE", count: count + this.#tombstones.removeExpired(ledger, time) };
   }
 
   /** The lot's deadline has passed: its unfinished items fail. */
@@ -447,11 +447,11 @@
     return {
       kind: "COUNT",
       waiting: this.waiting,
-      processing: this.#processing.size + this.passes.processing().size,
-      lots: this.#lots.size + this.passes.lots,
-      tokens: limited === undefined ? 0 : bucket.level(limited.held, limited.limits, time),
+      processing: this.#processing.size + this.passQueue.processing().size,
+      lots: this.#lots.size + this.passQueue.lotCount,
+      tokens: limited === undefined ? 0 : bucket.tokensAt(limited.held, limited.limits, time),
       limits: ledger.read<Share>(limitsKey)?.limits,
-      open: Object.fromEntries(this.open()),
+      open: Object.fromEntries(this.openItemsBySeason()),
     };
   }
 }
--- a/packages/parts/src/pass-queue.ts
+++ b/packages/parts/src/pass-queue.ts
@@ -104,7 +104,7 @@
     return this.#waiting.size;
   }
 
-  get lots(): number {
+  get lotCount(): number {
     return this.#expiresAt.size;
   }
 
@@ -117,18 +117,18 @@
   }
 
   /** Passages with unfinished items in this queue. */
-  ways(): ReadonlySet<string> {
+  activePassages(): ReadonlySet<string> {
     const passages = new Set(this.#tokens.passages());
     for (const passage of this.#waiting.groups())
-      if (this.#waiting.of(passage).length > 0) passages.add(passage);
+      if (this.#waiting.itemsOf(passage).length > 0) passages.add(passage);
     return passages;
   }
 
   /** Number of items of the given passages that can be dequeued now, counted up to a limit. */
-  ready(passages: readonly string[], time: number, limit: number): number {
+  countReady(passages: readonly string[], time: number, limit: number): number {
     let count = 0;
     for (const passage of passages)
-      for (const item of this.#waiting.of(passage)) {
+      for (const item of this.#waiting.itemsOf(passage)) {
         if (count >= limit) return count;
         if (mayRun(item, time)) count += 1;
       }
@@ -136,14 +136,15 @@
   }
 
   /** Whether a held read can be answered: the requested position is listed, or the reader will never see it. */
-  isTold(ledger: Ledger, { lot: id, from, reader }: ResultsCommand): boolean {
+  canAnswerRead(ledger: Ledger, { lot: id, from, reader }: ResultsCommand): boolean {
     const lot = ledger.read<PassLot>(passLotKey(id));
     if (lot === undefined || !isVisibleTo(lot, reader)) return true;
     return lot.listed > from || lot.open === 0;
   }
 
   #trackExpiry(lot: PassLot): void {
-    const expiry = lot.finishedAt === undefined ? lot.until : lot.finishedAt + constants.lotKept;
+    const expiry =
+      lot.finishedAt === undefined ? lot.until : lot.finishedAt + constants.lotResultRetentionMs;
     this.#expiresAt.set(lot.id, expiry);
     this.#earliestExpiry = Math.min(this.#earliestExpiry, expiry);
   }
@@ -344,7 +345,7 @@
     const { holder: _holder, by: _by, ...task } = before;
     const queued: TaskRecord = { ...task, state: "queued" };
     ledger.put(key, queued);
-    this.#waiting.giveBack(lot.way, waitingTask(key, queued, lot));
+    this.#waiting.reinsert(lot.way, waitingTask(key, queued, lot));
   }
 
   /** Ends the item and appends its result to the lot's list; the position is permanent. */
@@ -430,7 +431,7 @@
   isExpiryDue(time: number): boolean {
     return (
       this.#earliestExpiry <= time ||
-      this.#tombstones.isDue(time) ||
+      this.#tombstones.hasExpired(time) ||
       this.#refusedTickets.isDue(time)
     );
   }
@@ -449,7 +450,7 @@
     this.#earliestExpiry = Number.POSITIVE_INFINITY;
     for (const expiry of this.#expiresAt.values())
       this.#earliestExpiry = Math.min(this.#earliestExpiry, expiry);
-    return count + this.#tombstones.forgetDue(ledger, time);
+    return count + this.#tombstones.removeExpired(ledger, time);
   }
 
   /** Deletes a lot and its results after their retention; a tombstone remains. */
--- a/packages/parts/src/pass-reads.ts
+++ b/packages/parts/src/pass-reads.ts
@@ -17,7 +17,7 @@
     const result = ledger.read<ListedResult>(indexedKey("result", id, position))!;
     // A UTF-16 code unit takes at most three bytes in UTF-8.
     size += result.text.length * 3 + result.item.length * 3;
-    if (results.length > 0 && size > constants.resultsMost) break;
+    if (results.length > 0 && size > constants.maxResultsBytes) break;
     results.push(result);
   }
   return { kind: "RESULTS", lot: id, total: lot.total, open: lot.open > 0, results };
--- a/packages/parts/src/pass-turns.ts
+++ b/packages/parts/src/pass-turns.ts
@@ -37,12 +37,12 @@
     open: entries.length,
     listed: 0,
     goesMost: command.goesMost,
-    until: time + keeps + constants.deadlineGrace,
+    until: time + keeps + constants.deadlineGraceMs,
     ...(within === undefined
       ? {}
       : {
-          yieldsFrom: command.late === true ? time : time + within - constants.runUsual,
-          yieldsUntil: time + keeps * constants.yieldPart,
+          yieldsFrom: command.late === true ? time : time + within - constants.expectedRunMs,
+          yieldsUntil: time + keeps * constants.yieldFraction,
         }),
     ...(entries.length === 0 ? { finishedAt: time } : {}),
   };
@@ -50,5 +50,5 @@
 
 /** Exponential backoff in ms after `breaks` (two or more) consecutive runs that broke without an event. */
 export function retryDelay(breaks: number): number {
-  return Math.min(constants.restMost, constants.restFirst * 2 ** (breaks - 2));
+  return Math.min(constants.maxItemRetryMs, constants.firstItemRetryMs * 2 ** (breaks - 2));
 }
--- a/packages/parts/src/policy.ts
+++ b/packages/parts/src/policy.ts
@@ -69,8 +69,8 @@
   copiesWanted: constants.copiesWanted,
   othersLeast: constants.copiesWanted,
   controlsWanted: constants.copiesWanted,
-  cancelWithin: constants.grantLasts,
-  stopWithin: constants.drainPatience,
+  cancelWithin: constants.grantDurationMs,
+  stopWithin: constants.drainTimeoutMs,
   poolRate: 1_000,
   poolBurst: 200,
   memory: 512,
@@ -89,48 +89,49 @@
   {
     name: "acknowledgeWithin",
     // A suspended node keeps its lease until it expires; a lagging one gets another until it is known to lag.
-    minimum: constants.leaseLasts + constants.lagLasts + constants.resendAfter,
+    minimum: constants.leaseDurationMs + constants.maxFeedLagForLeaseMs + constants.resendDelayMs,
     reason: "the lease of a suspended node delays a change, minimum in ms:",
   },
   {
     name: "contactWithin",
-    minimum: constants.sessionLasts,
+    minimum: constants.sessionTimeoutMs,
     reason: "a node follows control once its session exists, minimum in ms:",
   },
   {
     name: "drainWithin",
-    minimum: constants.connectPatience,
+    minimum: constants.connectTimeoutMs,
     reason: "a runner may be chosen just before and still be connecting, minimum in ms:",
   },
   {
     name: "applyWithin",
-    minimum: constants.beatEvery,
+    minimum: constants.tickIntervalMs,
     reason: "nodes check once per tick, minimum in ms:",
   },
   {
     name: "cancelWithin",
-    minimum: constants.cancelLeast,
+    minimum: constants.minCancelMs,
     reason: "an item just granted must begin or be given back, minimum in ms:",
   },
   {
     name: "stopWithin",
-    minimum: constants.stopLeast,
+    minimum: constants.minStopMs,
     reason: "work in progress must end or be handed over, minimum in ms:",
   },
   {
     name: "syncWithin",
-    minimum: constants.sessionLasts,
+    minimum: constants.sessionTimeoutMs,
     reason: "a machine that returns needs a session before it is copied to, minimum in ms:",
   },
   {
     name: "recoverWithin",
-    minimum: constants.memberSilence + constants.leaseLasts + constants.sessionLasts,
+    minimum:
+      constants.memberSilenceTimeoutMs + constants.leaseDurationMs + constants.sessionTimeoutMs,
     reason: "the silence timeout, a lease and a session must expire first, minimum in ms:",
   },
-  { name: "memory", minimum: constants.memoryLeast, reason: "minimum megabytes for a process:" },
+  { name: "memory", minimum: constants.minMemoryMb, reason: "minimum megabytes for a process:" },
   {
     name: "descriptors",
-    minimum: constants.descriptorsLeast,
+    minimum: constants.minFileDescriptors,
     reason: "minimum file descriptors for a process:",
   },
 ];
@@ -144,9 +145,9 @@
   for (const [kind, count] of Object.entries(bounds.losses))
     if (!Number.isInteger(count) || count < 0)
       found.push(`bounds.losses.${kind}: ${count} must be an integer of 0 or more`);
-  if (bounds.losses.machines > constants.lossesMost)
+  if (bounds.losses.machines > constants.maxMachineLosses)
     found.push(
-      `bounds.losses.machines: ${bounds.losses.machines} is too many: replication tolerates up to ${constants.lossesMost} simultaneous losses`,
+      `bounds.losses.machines: ${bounds.losses.machines} is too many: replication tolerates up to ${constants.maxMachineLosses} simultaneous losses`,
     );
   return found;
 }
@@ -154,9 +155,9 @@
 /** Derives the policy from checked bounds; a combination that cannot be met is rejected with all reasons. */
 function derivePolicy(bounds: Bounds): Outcome<Policy> {
   const found = violations(bounds);
-  if (found.length > 0) return outcome.bad(found.join("; "));
+  if (found.length > 0) return outcome.failure(found.join("; "));
   const losses = Math.max(1, bounds.losses.machines);
-  return outcome.good({
+  return outcome.success({
     goesOnAlone: bounds.goesOnAlone,
     // After three missed reports a runner is considered silent; a shorter gap may be a late report.
     runnerLasts: bounds.reportsEvery * 4,
@@ -174,4 +175,4 @@
   });
 }
 
-export const policy = { usual: defaultPolicy, from: derivePolicy };
+export const policy = { defaults: defaultPolicy, from: derivePolicy };
--- a/packages/parts/src/refused-tickets.ts
+++ b/packages/parts/src/refused-tickets.ts
@@ -32,7 +32,7 @@
 
   isDue(time: number): boolean {
     const first = this.#tickets[0];
-    return first !== undefined && first[0] + constants.turnedLasts <= time;
+    return first !== undefined && first[0] + constants.rejectionMemoryMs <= time;
   }
 
   /** Removes expired tickets; returns how many. */
--- a/packages/parts/src/season.ts
+++ b/packages/parts/src/season.ts
@@ -126,7 +126,7 @@
   mayMatch,
   opened,
   nextChange,
-  deciding: seasonInForce,
+  inForce: seasonInForce,
   roomAt,
-  cut: divideAllowance,
+  divideAllowance: divideAllowance,
 };
--- a/packages/parts/src/session.ts
+++ b/packages/parts/src/session.ts
@@ -4,7 +4,7 @@
 import { policy, type Policy } from "./policy.js";
 
 /** How a node describes itself in its heartbeats. */
-export interface NodeCard {
+export interface NodeDescriptor {
   readonly identity: string;
   readonly address: string;
   readonly kind: "access" | "storage";
@@ -20,23 +20,23 @@
   /** Feed index up to which this node has applied entries. */
   readonly place: number;
   /** What this node observed. */
-  readonly telling: Telling;
+  readonly telling: NodeReport;
 }
 
 /** Observations that a node reports in its heartbeats. */
-export interface Telling {
+export interface NodeReport {
   /** Chains that this storage machine has copied completely, with the epoch of the view. */
   readonly copied?: readonly (readonly [queue: string, mark: number])[];
   /** Replicas that delay a chain, as observed by this node. */
   readonly stuck?: readonly (readonly [queue: string, mark: number, identity: string])[];
-  readonly runners?: readonly RunnerCard[];
+  readonly runners?: readonly RunnerDescriptor[];
   /** For queues owned by this node: epoch of the share in force, items allowed by it or still open (whichever is more), and items needed; in total and by season. */
   readonly shares?: readonly (readonly [
     queue: string,
     shareMark: number,
     held: number,
     need: number,
-    classes?: readonly ShareTelling[],
+    classes?: readonly SeasonShareReport[],
   ])[];
   /** Prompts of lots that this access node has in progress, by runner. */
   readonly lots?: readonly (readonly [runner: string, count: number])[];
@@ -47,10 +47,10 @@
 }
 
 /** Items that a queue holds or may hold, and items that it needs, in one season. */
-export type ShareTelling = readonly [season: string, held: number, need: number];
+export type SeasonShareReport = readonly [season: string, held: number, need: number];
 
 /** How a runner is described in its announcements and in the registry. */
-export interface RunnerCard {
+export interface RunnerDescriptor {
   readonly id: string;
   /** Grows with each restart of the runner, so that an outdated report is recognized however late it arrives (docs/design.md §7.5). */
   readonly incarnation: number;
@@ -75,7 +75,7 @@
 
 /** A node in the registry. */
 export interface RegistryNode {
-  readonly card: NodeCard;
+  readonly card: NodeDescriptor;
   /** ms since the last heartbeat of the node. */
   readonly age: number;
 }
@@ -83,7 +83,7 @@
 /** Nodes and runners known to a control machine. */
 export interface RunnerRegistry {
   readonly nodes: readonly RegistryNode[];
-  readonly runners: readonly RunnerCard[];
+  readonly runners: readonly RunnerDescriptor[];
   /** Sums over all access nodes except the receiver: requests in progress on passages, by runner (docs/design.md §13.4). */
   readonly others?: readonly RunnerLoad[];
 }
@@ -94,7 +94,7 @@
 export type RunnerLoad = readonly [runner: string, live: number, items: number];
 
 interface Session {
-  card: NodeCard;
+  card: NodeDescriptor;
   /** When the newest heartbeat was received, by this machine or by the one that forwarded it. */
   heardAt: number;
   /** End of the lease granted by this machine; undefined where the session is known only from other control machines. */
@@ -106,10 +106,10 @@
 }
 
 /** Whether a report replaces a known one: the higher incarnation wins regardless of arrival; within one, the higher sequence number, then the later arrival (docs/design.md §7.5). */
-export function isNewerWord(
-  card: RunnerCard,
+export function isNewerReport(
+  card: RunnerDescriptor,
   heardAt: number,
-  held: RunnerCard,
+  held: RunnerDescriptor,
   heldAt: number,
 ): boolean {
   if (card.incarnation !== held.incarnation) return card.incarnation > held.incarnation;
@@ -118,7 +118,10 @@
 }
 
 /** Whether a report changes something that nodes act upon; load and age alone do not count. */
-export function saysNew(card: RunnerCard, held: RunnerCard | undefined): boolean {
+export function isSignificantChange(
+  card: RunnerDescriptor,
+  held: RunnerDescriptor | undefined,
+): boolean {
   return held === undefined || stableFields(card) !== stableFields(held);
 }
 
@@ -133,7 +136,7 @@
   zone,
   pool,
   warming,
-}: RunnerCard): string {
+}: RunnerDescriptor): string {
   return JSON.stringify([
     id,
     incarnation,
@@ -149,41 +152,48 @@
 }
 
 /** A time by the clock of one incarnation of a control machine. */
-export interface Stamp {
+export interface ClockStamp {
   /** Incarnation of the control machine. */
   readonly life: string;
   readonly at: number;
 }
 
 /** A stamp returned to its issuer with the time for which it was held, which bounds the transit time of the message (docs/design.md §7.5). */
-export interface Back extends Stamp {
+export interface EchoedStamp extends ClockStamp {
   readonly held: number;
 }
 
 /** Upper bound on the transit time of a message in ms; without a stamp of this incarnation it is the session timeout. */
-export function lateness(back: Back | null | undefined, life: string, now: number): number {
+export function maxTransitMs(
+  back: EchoedStamp | null | undefined,
+  life: string,
+  now: number,
+): number {
   // Earlier releases send no stamps.
   if (back === undefined) return 0;
   return back === null || back.life !== life
-    ? constants.sessionLasts
+    ? constants.sessionTimeoutMs
     : Math.max(0, now - back.at - back.held);
 }
 
 /** Returns a received stamp to its issuer; null where none was received. */
-export function giveBack(held: { stamp: Stamp; at: number } | undefined, now: number): Back | null {
+export function echoStamp(
+  held: { stamp: ClockStamp; at: number } | undefined,
+  now: number,
+): EchoedStamp | null {
   return held === undefined ? null : { ...held.stamp, held: now - held.at };
 }
 
 /** Sessions and runners known to one control machine. */
 export class Sessions {
   #sessions = new Map<string, Session>();
-  #runners = new Map<string, { card: RunnerCard; heardAt: number }>();
+  #runners = new Map<string, { card: RunnerDescriptor; heardAt: number }>();
   #policy: Policy;
   /** Requests in progress by runner over all access nodes, summed once per tick. */
   #loadSums = new Map<string, [live: number, items: number]>();
   #summedAt = Number.NEGATIVE_INFINITY;
 
-  constructor(selectedPolicy: Policy = policy.usual) {
+  constructor(selectedPolicy: Policy = policy.defaults) {
     this.#policy = selectedPolicy;
   }
 
@@ -193,13 +203,16 @@
   }
 
   /** Records a runner's own announcement; returns whether it is newer than what was known, and whether it must be forwarded at once. */
-  announced(card: RunnerCard, now: number): { newer: boolean; news: boolean } {
+  recordAnnouncement(
+    card: RunnerDescriptor,
+    now: number,
+  ): { newer: boolean; mustForward: boolean } {
     const held = this.#runners.get(card.id);
-    const newer = held === undefined || isNewerWord(card, now, held.card, held.heardAt);
+    const newer = held === undefined || isNewerReport(card, now, held.card, held.heardAt);
     const known =
       held !== undefined && now - held.heardAt <= this.#policy.runnerLasts ? held.card : undefined;
     if (newer) this.#runners.set(card.id, { card, heardAt: now });
-    return { newer, news: newer && saysNew(card, known) };
+    return { newer, mustForward: newer && isSignificantChange(card, known) };
   }
 
   /**
@@ -207,8 +220,8 @@
    * `late` bounds the transit time of the message, by which the runner reports in it are older.
    * Returns false, and changes nothing, where a later heartbeat of the node is known.
    */
-  heard(
-    card: NodeCard,
+  recordHeartbeat(
+    card: NodeDescriptor,
     now: number,
     leaseUntil: number | undefined,
     age: number,
@@ -221,7 +234,7 @@
       held?.askedAt !== undefined &&
       askedAt !== undefined &&
       askedAt < held.askedAt &&
-      held.askedAt - askedAt < constants.nearLasts
+      held.askedAt - askedAt < constants.quorumContactTimeoutMs
     )
       return false;
     const heardAt = now - age;
@@ -255,23 +268,24 @@
   }
 
   /** Records a runner's state unless a newer one is known. */
-  #recordRunner(card: RunnerCard, now: number): void {
+  #recordRunner(card: RunnerDescriptor, now: number): void {
     const heardAt = now - card.age;
     const held = this.#runners.get(card.id);
-    if (held === undefined || isNewerWord(card, heardAt, held.card, held.heardAt))
+    if (held === undefined || isNewerReport(card, heardAt, held.card, held.heardAt))
       this.#runners.set(card.id, { card, heardAt });
   }
 
   /** Records the registry of another control machine. */
   merge(registry: RunnerRegistry, now: number, late: number): void {
-    for (const { card, age } of registry.nodes) this.heard(card, now, undefined, age, late);
+    for (const { card, age } of registry.nodes)
+      this.recordHeartbeat(card, now, undefined, age, late);
     for (const runner of registry.runners) this.#recordRunner(runner, now - late);
   }
 
   /** Removes sessions and runners that have been silent for long. */
-  forget(now: number): void {
+  removeExpired(now: number): void {
     for (const [identity, session] of this.#sessions) {
-      if (now - session.heardAt > constants.sessionLasts * 4 && (session.leaseUntil ?? 0) < now)
+      if (now - session.heardAt > constants.sessionTimeoutMs * 4 && (session.leaseUntil ?? 0) < now)
         this.#sessions.delete(identity);
     }
     for (const [id, runner] of this.#runners)
@@ -279,32 +293,32 @@
   }
 
   /** Whether any node sent a heartbeat recently; if none did, this machine is the one that is disconnected. */
-  hearsAny(now: number): boolean {
+  hasRecentHeartbeat(now: number): boolean {
     for (const session of this.#sessions.values())
-      if (now - session.heardAt <= constants.sessionEvery * 3) return true;
+      if (now - session.heardAt <= constants.heartbeatIntervalMs * 3) return true;
     return false;
   }
 
   /** Nodes of a kind whose sessions have not ended. */
-  live(kind: NodeCard["kind"], now: number): NodeCard[] {
-    const found: NodeCard[] = [];
+  live(kind: NodeDescriptor["kind"], now: number): NodeDescriptor[] {
+    const found: NodeDescriptor[] = [];
     for (const session of this.#sessions.values()) {
-      if (session.card.kind === kind && now - session.heardAt <= constants.sessionLasts)
+      if (session.card.kind === kind && now - session.heardAt <= constants.sessionTimeoutMs)
         found.push(session.card);
     }
     return found;
   }
 
   /** Nodes with a lease granted by this machine; new feed entries are sent to them at once. */
-  followers(now: number): NodeCard[] {
-    const found: NodeCard[] = [];
+  feedFollowers(now: number): NodeDescriptor[] {
+    const found: NodeDescriptor[] = [];
     for (const session of this.#sessions.values())
       if ((session.leaseUntil ?? 0) > now) found.push(session.card);
     return found;
   }
 
   /** Number of leases granted by this machine that have not expired. */
-  holders(now: number): number {
+  activeLeaseCount(now: number): number {
     let count = 0;
     for (const { leaseUntil } of this.#sessions.values())
       if (leaseUntil !== undefined && leaseUntil > now) count += 1;
@@ -312,7 +326,7 @@
   }
 
   /** Highest feed index that the node at an address reported while it was free of promises. */
-  taken(address: string): number {
+  reportedIndex(address: string): number {
     let feedIndex = 0;
     let heardAt = Number.NEGATIVE_INFINITY;
     for (const session of this.#sessions.values()) {
@@ -324,7 +338,7 @@
   }
 
   /** Feed index that every holder of a lease granted by this machine has reached, up to a limit. */
-  covered(limit: number, now: number): number {
+  coveredIndex(limit: number, now: number): number {
     let feedIndex = limit;
     for (const session of this.#sessions.values()) {
       if (session.leaseUntil !== undefined && session.leaseUntil > now)
@@ -350,11 +364,11 @@
 
   /** Sums of the reported loads without those of one node. */
   #loadsExcept(identity: string, now: number): RunnerLoad[] {
-    if (now - this.#summedAt >= constants.beatEvery || now < this.#summedAt) {
+    if (now - this.#summedAt >= constants.tickIntervalMs || now < this.#summedAt) {
       this.#summedAt = now;
       this.#loadSums = new Map();
       for (const { card, heardAt } of this.#sessions.values()) {
-        if (card.kind !== "access" || now - heardAt > constants.sessionLasts) continue;
+        if (card.kind !== "access" || now - heardAt > constants.sessionTimeoutMs) continue;
         for (const [runner, live, items] of card.telling.burdens ?? []) {
           const sum = this.#loadSums.get(runner) ?? [0, 0];
           this.#loadSums.set(runner, [sum[0] + live, sum[1] + items]);
@@ -379,7 +393,7 @@
     for (const session of this.#sessions.values()) {
       const age = now - session.heardAt;
       // Nodes report their loads to every control machine themselves.
-      if (age <= constants.sessionLasts)
+      if (age <= constants.sessionTimeoutMs)
         nodes.push({
           card: {
             ...session.card,
@@ -388,7 +402,7 @@
           age,
         });
     }
-    const runners: RunnerCard[] = [];
+    const runners: RunnerDescriptor[] = [];
     for (const { card, heardAt } of this.#runners.values()) {
       const age = now - heardAt;
       if (age <= this.#policy.runnerLasts) runners.push({ ...card, age });
@@ -406,13 +420,13 @@
       readonly place: number;
       /** Control is unreachable from the sender too, and it accepts nothing from control while the permit is valid. */
       readonly promises: boolean;
-      readonly runners: readonly RunnerCard[];
+      readonly runners: readonly RunnerDescriptor[];
       readonly closed: readonly (readonly [runner: string, incarnation: number])[];
     };
 
 /** How long, in ms from its request, the holder of a lease or grant may rely on it: shorter by the drift by which its clock may be slower. */
-export function heldFor(grantedMs: number): number {
-  return grantedMs * (1 - constants.clockRatesApart);
+export function holderDurationMs(grantedMs: number): number {
+  return grantedMs * (1 - constants.maxClockDriftFraction);
 }
 
 /** A node's lease, valid while a majority of the members of the newest view grant it. */
@@ -429,7 +443,7 @@
   }
 
   /** Records a grant. The lease runs from the request of this node, so that it ends here before it ends at the granter. */
-  granted(identity: string, view: ChainView, askedAt: number, place: number): void {
+  addGrant(identity: string, view: ChainView, askedAt: number, place: number): void {
     if (this.#view === undefined || view.mark > this.#view.mark) {
       if (this.#view !== undefined) this.#previous = { view: this.#view, grants: this.#grants };
       this.#view = view;
@@ -437,13 +451,16 @@
       this.#cachedExpiry = undefined;
     }
     if (view.mark !== this.#view.mark) return;
-    this.#grants.set(identity, { until: askedAt + heldFor(constants.leaseLasts), place });
+    this.#grants.set(identity, {
+      until: askedAt + holderDurationMs(constants.leaseDurationMs),
+      place,
+    });
     this.#cachedExpiry = undefined;
   }
 
   /** Whether the lease is valid; a grant counts only once the node has reached the feed index that the granter had. */
-  holds(now: number, feedIndex: number): boolean {
-    return now < this.until(feedIndex);
+  isValid(now: number, feedIndex: number): boolean {
+    return now < this.expiresAt(feedIndex);
   }
 
   /** Members of the newest view whose grants are valid for a node at a feed index. */
@@ -455,7 +472,7 @@
   }
 
   /** When the lease expires for a node at a feed index. */
-  until(feedIndex: number): number {
+  expiresAt(feedIndex: number): number {
     if (this.#cachedExpiry?.place !== feedIndex)
       this.#cachedExpiry = { place: feedIndex, until: this.#expiresAt(feedIndex) };
     return this.#cachedExpiry.until;
--- a/packages/parts/src/tombstones.ts
+++ b/packages/parts/src/tombstones.ts
@@ -40,15 +40,17 @@
   }
 
   /** Whether at least one tombstone has expired. */
-  isDue(time: number): boolean {
+  hasExpired(time: number): boolean {
     const oldest = this.#byExpiry[0];
-    return oldest !== undefined && this.#endedAt(oldest) + constants.lotForgets <= time;
+    return (
+      oldest !== undefined && this.#endedAt(oldest) + constants.lotTombstoneRetentionMs <= time
+    );
   }
 
   /** Removes expired tombstones; returns their number. */
-  forgetDue(ledger: Ledger, time: number): number {
+  removeExpired(ledger: Ledger, time: number): number {
     let removed = 0;
-    while (this.isDue(time)) {
+    while (this.hasExpired(time)) {
       ledger.remove(this.#prefix + this.#byExpiry.shift()!.lot);
       removed += 1;
     }
--- a/packages/parts/src/view-messages.ts
+++ b/packages/parts/src/view-messages.ts
@@ -20,7 +20,7 @@
 }
 
 /** Heartbeat between control machines. */
-export interface Greeting {
+export interface ControlHeartbeat {
   readonly kind: "greet";
   readonly member: Member;
   readonly view: ChainView | undefined;
@@ -35,7 +35,7 @@
 
 /** Messages by which control machines agree on the next view. */
 export type ViewMessage =
-  | Greeting
+  | ControlHeartbeat
   /** Phase 1 request: asks the voter to promise to accept no lower ballot. */
   | { readonly kind: "prepare"; readonly mark: number; readonly ballot: Ballot }
   /** Phase 1 reply, with the view that the voter accepted last, if any. */
--- a/packages/parts/src/view.ts
+++ b/packages/parts/src/view.ts
@@ -3,9 +3,15 @@
  * each next view (docs/design.md §2).
  */
 import { constants } from "./constants.js";
-import { holdersOf, presentOf, type ChainView, type Member } from "./chain.js";
+import { holdersOf, reachableReplicas, type ChainView, type Member } from "./chain.js";
 import { ControlPeers } from "./control-peers.js";
-import type { Ballot, Greeting, ViewCommand, ViewMessage, VoteState } from "./view-messages.js";
+import type {
+  Ballot,
+  ControlHeartbeat,
+  ViewCommand,
+  ViewMessage,
+  VoteState,
+} from "./view-messages.js";
 import {
   byIdentity,
   hasIdentity,
@@ -90,13 +96,13 @@
   }
 
   /** Announces a planned shutdown of this machine. */
-  leave(): ViewCommand[] {
+  announceShutdown(): ViewCommand[] {
     this.#leaving = true;
     return this.#heartbeats();
   }
 
   /** Cancels a planned shutdown, so that this machine can become a member again. */
-  stay(): ViewCommand[] {
+  cancelShutdown(): ViewCommand[] {
     this.#leaving = false;
     return this.#heartbeats();
   }
@@ -112,7 +118,7 @@
     if (holdersOf(view).some(hasIdentity, { identity })) return true;
     const voters = votersOf(view);
     if (!voters.some(hasIdentity, { identity })) return false;
-    return this.#peers.alive(voters, this.#lastTickAt).length - 1 < majority(view);
+    return this.#peers.membersInContact(voters, this.#lastTickAt).length - 1 < majority(view);
   }
 
   #isLeaving(identity: string): boolean {
@@ -122,7 +128,7 @@
   }
 
   /** When every member of the previous view had reported that view; undefined if one never did (docs/design.md §7.2). */
-  get settledBefore(): number | undefined {
+  get previousViewSettledAt(): number | undefined {
     return this.#previousSettledAt;
   }
 
@@ -137,14 +143,17 @@
   }
 
   /** Whether heartbeats from a machine arrived within a time, in ms, and it receives those of this one (docs/design.md §2.3). */
-  heardWithin(identity: string, within: number, now: number): boolean {
-    return this.#peers.heardWithin(identity, within, now);
+  isReachableWithin(identity: string, within: number, now: number): boolean {
+    return this.#peers.isInContactWithin(identity, within, now);
   }
 
   /** Whether a majority of the voters is reachable; if not, this machine may be the one that is cut off. */
-  isNear(now: number): boolean {
+  hasQuorumContact(now: number): boolean {
     const view = this.#state.view;
-    return view !== undefined && this.#peers.alive(votersOf(view), now).length >= majority(view);
+    return (
+      view !== undefined &&
+      this.#peers.membersInContact(votersOf(view), now).length >= majority(view)
+    );
   }
 
   /** Addresses to send heartbeats to: those in the view, the seeds, and all machines that send heartbeats. */
@@ -160,7 +169,7 @@
   }
 
   /** Called when the state with this ticket is durable; returns the commands that waited for it. */
-  written(ticket: number): ViewCommand[] {
+  writeCompleted(ticket: number): ViewCommand[] {
     const commands = this.#heldCommands.get(ticket) ?? [];
     this.#heldCommands.delete(ticket);
     return commands;
@@ -175,20 +184,20 @@
   }
 
   /** Sends heartbeats when they are due, and forms the first view or proposes the next one if needed. */
-  beat(now: number, copiedMark: number, slowLearner?: string): ViewCommand[] {
+  tick(now: number, copiedMark: number, slowLearner?: string): ViewCommand[] {
     this.#slowLearner = slowLearner;
     // A completed copy is reported at once.
     if (copiedMark > this.#copiedEpoch) this.#lastHeartbeatAt = Number.NEGATIVE_INFINITY;
     this.#copiedEpoch = copiedMark;
     // After a suspension of this process, missing heartbeats do not mean that other machines failed.
-    if (now - this.#lastTickAt > constants.sleptLeast) this.#listeningSince = now;
+    if (now - this.#lastTickAt > constants.minSuspensionMs) this.#listeningSince = now;
     this.#lastTickAt = now;
     this.#recordSettled(now);
     const commands: ViewCommand[] = [];
-    if (now - this.#lastHeartbeatAt >= constants.greetEvery) {
+    if (now - this.#lastHeartbeatAt >= constants.controlHeartbeatIntervalMs) {
       this.#lastHeartbeatAt = now;
       commands.push(...this.#heartbeats());
-      this.#peers.forget(now);
+      this.#peers.removeExpired(now);
     }
     if (this.#state.view === undefined) commands.push(...this.#formFirstView(now));
     else commands.push(...this.#proposeIfNeeded(now));
@@ -213,13 +222,15 @@
     const members: Member[] = [];
     let allAgree = true;
     for (const seed of this.#seeds) {
-      const peer = seed === this.#self.address ? undefined : this.#peers.at(seed, now);
+      const peer = seed === this.#self.address ? undefined : this.#peers.peerAt(seed, now);
       if (seed !== this.#self.address && (peer === undefined || peer.view !== undefined)) return [];
       members.push(peer?.member ?? this.#self);
     }
     for (const seed of this.#seeds) {
       const founding =
-        seed === this.#self.address ? this.#state.founding : this.#peers.at(seed, now)!.founding;
+        seed === this.#self.address
+          ? this.#state.founding
+          : this.#peers.peerAt(seed, now)!.founding;
       if (founding === undefined || !haveSameMembers(founding, members)) allAgree = false;
     }
     if (allAgree) return this.#adoptView({ mark: 1, members });
@@ -236,14 +247,17 @@
     const view = this.#state.view!;
     // If the members are too few to commit, the last members that could commit take over as soon as they are reachable again.
     const reachable = new Set<string>();
-    for (const { identity } of this.#peers.alive([...holdersOf(view), ...view.members], now))
+    for (const { identity } of this.#peers.membersInContact(
+      [...holdersOf(view), ...view.members],
+      now,
+    ))
       reachable.add(identity);
-    const alive = presentOf(view, reachable);
-    if (alive.length === 0 || !this.isNear(now)) return undefined;
+    const alive = reachableReplicas(view, reachable);
+    if (alive.length === 0 || !this.hasQuorumContact(now)) return undefined;
     const learner =
       view.joiner !== undefined &&
       view.joiner.identity !== this.#slowLearner &&
-      this.#peers.heardWithin(view.joiner.identity, constants.memberSilence, now)
+      this.#peers.isInContactWithin(view.joiner.identity, constants.memberSilenceTimeoutMs, now)
         ? view.joiner
         : undefined;
     if (!haveSameMembers(alive, view.members)) {
@@ -288,7 +302,7 @@
     const previousVoters = votersOf(view);
     for (const other of [
       ...(learner === undefined ? [] : [learner]),
-      ...this.#peers.alive(previousVoters, now),
+      ...this.#peers.membersInContact(previousVoters, now),
       ...holders,
       ...previousVoters,
     ]) {
@@ -311,8 +325,8 @@
   #learnerCandidate(view: ChainView, now: number): Member | undefined {
     const inView = [...view.members, ...holdersOf(view)];
     const candidates: Member[] = [];
-    for (const { member } of this.#peers.joinable(now)) {
-      if (!this.#peers.isHeardByAll(member.identity, view, now)) continue;
+    for (const { member } of this.#peers.joinCandidates(now)) {
+      if (!this.#peers.isInContactWithAll(member.identity, view, now)) continue;
       if (!inView.some(hasIdentity, { identity: member.identity })) candidates.push(member);
     }
     candidates.sort(byIdentity);
@@ -329,7 +343,7 @@
     const position = proposers.findIndex(hasIdentity, { identity: this.#self.identity });
     if (
       position < 0 ||
-      (now - this.#listeningSince < constants.memberSilence && !this.#hasHeardFromAll(now))
+      (now - this.#listeningSince < constants.memberSilenceTimeoutMs && !this.#hasHeardFromAll(now))
     )
       return [];
     const desired = this.#desiredView(now);
@@ -343,10 +357,10 @@
     this.#proposalDelayStart ??= now;
     if (
       now - this.#proposalDelayStart <
-      this.#proposerRank(proposers, position, now) * constants.agreeEvery
+      this.#proposerRank(proposers, position, now) * constants.ballotIntervalMs
     )
       return [];
-    this.#proposalDelayStart = now + constants.agreeEvery;
+    this.#proposalDelayStart = now + constants.ballotIntervalMs;
     this.#highestRound += 1;
     const ballot: Ballot = { round: this.#highestRound, identity: this.#self.identity };
     this.#proposal = {
@@ -368,7 +382,7 @@
     for (const { identity } of earlierProposers)
       if (
         !this.#isLeaving(identity) &&
-        this.#peers.heardWithin(identity, constants.memberSilence, now)
+        this.#peers.isInContactWithin(identity, constants.memberSilenceTimeoutMs, now)
       )
         rank += 1;
     return rank;
@@ -376,7 +390,7 @@
 
   /** Whether a proposed view leaves out a reachable member because of its planned shutdown. */
   #isHandover(view: ChainView, desired: ChainView, now: number): boolean {
-    for (const { identity } of this.#peers.alive(view.members, now))
+    for (const { identity } of this.#peers.membersInContact(view.members, now))
       if (this.#isLeaving(identity) && !desired.members.some(hasIdentity, { identity }))
         return true;
     return false;
@@ -409,8 +423,8 @@
     ]) {
       const { identity, address } = member;
       if (
-        !this.#peers.heardWithin(identity, constants.memberSilence, now) &&
-        this.#peers.at(address, now) === undefined
+        !this.#peers.isInContactWithin(identity, constants.memberSilenceTimeoutMs, now) &&
+        this.#peers.peerAt(address, now) === undefined
       )
         return false;
     }
@@ -457,9 +471,9 @@
       founding: this.#state.founding,
       copiedMark: this.#copiedEpoch,
       leaving: this.#leaving,
-      ...(this.#lastTickAt - this.#listeningSince < constants.memberSilence
+      ...(this.#lastTickAt - this.#listeningSince < constants.memberSilenceTimeoutMs
         ? {}
-        : { hears: this.#peers.heardLately(this.#lastTickAt) }),
+        : { hears: this.#peers.identitiesInContact(this.#lastTickAt) }),
     };
   }
 
@@ -468,8 +482,8 @@
     return message.kind === "greet" ? [] : this.receive(message, to, now);
   }
 
-  #receiveHeartbeat(message: Greeting, now: number): ViewCommand[] {
-    if (!this.#peers.greeted(message, now)) return [];
+  #receiveHeartbeat(message: ControlHeartbeat, now: number): ViewCommand[] {
+    if (!this.#peers.recordHeartbeat(message, now)) return [];
     this.#recordSettled(now);
     if (message.view !== undefined && message.view.mark > (this.#state.view?.mark ?? 0))
       return this.#adoptView(message.view);
--- a/packages/parts/src/waiting.ts
+++ b/packages/parts/src/waiting.ts
@@ -71,7 +71,7 @@
   }
 
   /** Items of a group in order of sequence. */
-  of(group: string): readonly Item[] {
+  itemsOf(group: string): readonly Item[] {
     return this.#groups.get(group) ?? [];
   }
 
@@ -92,7 +92,7 @@
   }
 
   /** Inserts an item at the position given by its sequence. */
-  giveBack(group: string, item: Item): void {
+  reinsert(group: string, item: Item): void {
     const waiting = this.#groups.get(group) ?? [];
     let [low, high] = [0, waiting.length];
     while (low < high) {
@@ -106,7 +106,7 @@
 
   remove(group: string, keys: ReadonlySet<string>): void {
     const kept: Item[] = [];
-    for (const item of this.of(group)) if (!keys.has(item.key)) kept.push(item);
+    for (const item of this.itemsOf(group)) if (!keys.has(item.key)) kept.push(item);
     this.#groups.set(group, kept);
   }
 
--- a/packages/shell/src/beat.ts
+++ b/packages/shell/src/beat.ts
@@ -27,7 +27,7 @@
   /** Starts the ticks; `onTick` is called with the monotonic time in ms. */
   start(onTick: (now: number) => void): void {
     this.#onTick = onTick;
-    this.#schedule(constants.beatEvery);
+    this.#schedule(constants.tickIntervalMs);
   }
 
   /** Stops the ticks. */
@@ -37,12 +37,12 @@
 
   /** Must be called when work may have started: if the process is no longer idle, the next tick comes within the normal interval. */
   hasten(): void {
-    if (this.#isSlowInterval && !this.#activity.isIdle()) this.#schedule(constants.beatEvery);
+    if (this.#isSlowInterval && !this.#activity.isIdle()) this.#schedule(constants.tickIntervalMs);
   }
 
   #schedule(after: number): void {
     clearTimeout(this.#handle);
-    this.#isSlowInterval = after > constants.beatEvery;
+    this.#isSlowInterval = after > constants.tickIntervalMs;
     this.#dueAt = performance.now() + after;
     const tick = (): void => this.#tick();
     this.#handle = setTimeout(tick, after);
@@ -52,7 +52,9 @@
     const now = performance.now();
     metrics.tickStarted(now - this.#dueAt);
     // Scheduled before the call, because the call may stop the ticks.
-    this.#schedule(this.#activity.isIdle() ? constants.idleBeatEvery : constants.beatEvery);
+    this.#schedule(
+      this.#activity.isIdle() ? constants.idleTickIntervalMs : constants.tickIntervalMs,
+    );
     this.#onTick(now);
   }
 }
@@ -74,7 +76,7 @@
       clearInterval(handle);
       resolve();
     }
-    const handle = setInterval(check, constants.beatEvery);
+    const handle = setInterval(check, constants.tickIntervalMs);
   }
   return new Promise<void>(begin);
 }
--- a/packages/shell/src/caller-timing.ts
+++ b/packages/shell/src/caller-timing.ts
@@ -19,7 +19,9 @@
  * up to a whole second, plus a margin for a request that is in transit when the announced time ends.
  */
 export function keepAliveTimeoutMs(idleWait: number): number {
-  return Math.max(1, Math.ceil(idleWait / msPerSecond)) * msPerSecond + constants.idleMarginHere;
+  return (
+    Math.max(1, Math.ceil(idleWait / msPerSecond)) * msPerSecond + constants.callerIdleMarginMs
+  );
 }
 
 /** Node.js reads `maxHeaderSize` at each connection, but its types declare it only as an option of the constructor. */
@@ -54,11 +56,11 @@
     const { headerBytes, headerWait, idleWait } = this.#limits();
     const server = this.#server;
     server.headersTimeout = headerWait;
-    server.requestTimeout = headerWait + constants.bodyPatience;
+    server.requestTimeout = headerWait + constants.bodyTimeoutMs;
     server.keepAliveTimeout = keepAliveTimeoutMs(idleWait);
     // The parser reads this once per connection, so it is the largest limit possible; each request is also checked on its own.
     server.maxHeaderSize =
-      Math.max(headerBytes, constants.passHeadersMost) + constants.requestLineMost;
+      Math.max(headerBytes, constants.maxPassHeaderBytes) + constants.maxRequestLineBytes;
   }
 
   /** `Keep-Alive` announces the timeout at the request's arrival; a shorter timeout set since then applies from the next response on. */
--- a/packages/shell/src/connection-progress.ts
+++ b/packages/shell/src/connection-progress.ts
@@ -24,7 +24,7 @@
 
   /** Whether the connection has stalled and should be replaced. */
   get hasExpired(): boolean {
-    return this.#unacknowledgedMs >= constants.acknowledgementPatience;
+    return this.#unacknowledgedMs >= constants.acknowledgementTimeoutMs;
   }
 
   /** Records that the other side has received so many bytes since the connection was opened. */
--- a/packages/shell/src/data-folder.ts
+++ b/packages/shell/src/data-folder.ts
@@ -69,17 +69,17 @@
   mkdirSync(folder, { recursive: true });
   const foreign = readdirSync(folder).find(isForeign);
   if (foreign !== undefined)
-    return outcome.bad(`${folder}: holds files that are not chutewick's, such as ${foreign}`);
+    return outcome.failure(`${folder}: holds files that are not chutewick's, such as ${foreign}`);
   const holder = lock(folder);
-  if (holder !== undefined) return outcome.bad(`${folder}: is in use by process ${holder}`);
+  if (holder !== undefined) return outcome.failure(`${folder}: is in use by process ${holder}`);
   probeWrite(join(folder, probeFile));
   const database = join(folder, databaseFile);
   const wasInitialized = existsSync(join(folder, initializedMarkerFile));
   const hasQuarantined = existsSync(join(folder, damagedFile));
-  if (!existsSync(database)) return outcome.good(newDatabase(wasInitialized || hasQuarantined));
+  if (!existsSync(database)) return outcome.success(newDatabase(wasInitialized || hasQuarantined));
   const damage = findDamage(database);
   if (damage === undefined)
-    return outcome.good({
+    return outcome.success({
       isFresh: false,
       wasInitialized,
       isReplacement: false,
@@ -87,13 +87,13 @@
     });
   if (wasInitialized) {
     quarantineDatabase(folder);
-    return outcome.good({ ...newDatabase(true), damage });
+    return outcome.success({ ...newDatabase(true), damage });
   }
   // Power was lost before the first transaction of this folder was durable, so nothing in it was ever acknowledged.
-  if (!hasNoTransaction(database)) return outcome.bad(`${database}: ${damage}`);
+  if (!hasNoTransaction(database)) return outcome.failure(`${database}: ${damage}`);
   rmSync(database);
   rmSync(join(folder, lmdbLockFile), { force: true });
-  return outcome.good(newDatabase(hasQuarantined));
+  return outcome.success(newDatabase(hasQuarantined));
 }
 
 /** Outcome for a folder in which a new database must be created. */
--- a/packages/shell/src/disk.ts
+++ b/packages/shell/src/disk.ts
@@ -7,11 +7,11 @@
   constants,
   outcome,
   type Change,
-  type ChainHolding,
+  type PersistedChain,
   type ChainState,
   type ChainWrite,
   type DiskCondition,
-  type Entry,
+  type LogEntry,
   type Outcome,
   type VoteState,
 } from "@chutewick/parts";
@@ -57,7 +57,7 @@
 /** Contents of the folder at the time it was opened. */
 interface PersistedState {
   readonly votes: VoteState | undefined;
-  readonly holdings: ReadonlyMap<string, ChainHolding>;
+  readonly holdings: ReadonlyMap<string, PersistedChain>;
 }
 
 /** A folder whose database is open and checked. */
@@ -128,17 +128,17 @@
     owner: DiskOwner,
     listener: DiskListener,
   ): Promise<Outcome<Disk>> {
-    let pause: number = constants.diskRetryLeast;
+    let pause: number = constants.minDiskRetryMs;
     for (;;) {
       try {
         return await Disk.#tryOpen(folder, owner, listener);
       } catch (error) {
         if (!(error instanceof FolderNotWritableError))
-          return outcome.bad(`${folder}: cannot be opened: ${(error as Error).message}`);
+          return outcome.failure(`${folder}: cannot be opened: ${(error as Error).message}`);
         listener.waiting(error.message);
       }
       await sleep(pause);
-      pause = Math.min(pause * 2, constants.diskRetryMost);
+      pause = Math.min(pause * 2, constants.maxDiskRetryMs);
     }
   }
 
@@ -155,7 +155,7 @@
       database = await openDatabase(folder);
       let persisted = readAll(database);
       if (typeof persisted === "string") {
-        if (!acquired.value.wasInitialized) return outcome.bad(`${folder}: ${persisted}`);
+        if (!acquired.value.wasInitialized) return outcome.failure(`${folder}: ${persisted}`);
         damage = persisted;
         await database.close();
         quarantineDatabase(folder);
@@ -174,7 +174,7 @@
         listener,
       );
       await disk.#reserveSpace();
-      return outcome.good(disk);
+      return outcome.success(disk);
     } catch (error) {
       const cause = await causeOf(error as Error);
       await database?.close().catch(ignore);
@@ -209,7 +209,7 @@
   }
 
   /** Persisted state of a chain at the time the folder was opened. */
-  holding(chain: string): ChainHolding | undefined {
+  holding(chain: string): PersistedChain | undefined {
     return this.#persisted.holdings.get(chain);
   }
 
@@ -267,9 +267,9 @@
       pageSize: number;
     };
     const used = (lastPageNumber + 1) * pageSize;
-    if (used + constants.diskAhead / 2 <= this.#reservedBytes) return;
+    if (used + constants.diskPreallocationBytes / 2 <= this.#reservedBytes) return;
     const file = join(this.#folder, databaseFile);
-    const length = Math.max(statSync(file).size, used + constants.diskAhead);
+    const length = Math.max(statSync(file).size, used + constants.diskPreallocationBytes);
     await truncateFile(file, length);
     this.#reservedBytes = length;
   }
@@ -308,10 +308,10 @@
 ): Promise<Outcome<FolderMetadata>> {
   let meta = database.get("meta") as FolderMetadata | undefined;
   if (meta === undefined) {
-    if (!acquired.isFresh) return outcome.bad(`${folder}: ${databaseFile} is not chutewick's`);
+    if (!acquired.isFresh) return outcome.failure(`${folder}: ${databaseFile} is not chutewick's`);
     meta = {
       product: "chutewick",
-      mark: constants.diskMark,
+      mark: constants.diskFormatVersion,
       kind,
       identity: `${name}-${randomUUID()}`,
       ...(acquired.isReplacement ? { isReplacement: true } : {}),
@@ -319,20 +319,20 @@
     await database.put("meta", meta);
   }
   markInitialized(folder);
-  if (meta.product !== "chutewick") return outcome.bad(`${folder}: belongs to ${meta.product}`);
-  if (meta.mark > constants.diskMark || meta.mark < constants.diskMarkOldest)
-    return outcome.bad(
-      `${folder}: has disk mark ${meta.mark}; this program knows ${constants.diskMark}`,
+  if (meta.product !== "chutewick") return outcome.failure(`${folder}: belongs to ${meta.product}`);
+  if (meta.mark > constants.diskFormatVersion || meta.mark < constants.oldestDiskFormatVersion)
+    return outcome.failure(
+      `${folder}: has disk mark ${meta.mark}; this program knows ${constants.diskFormatVersion}`,
     );
   if (meta.kind !== kind)
-    return outcome.bad(`${folder}: belongs to a ${meta.kind} machine, not to ${kind}`);
-  return outcome.good(meta);
+    return outcome.failure(`${folder}: belongs to a ${meta.kind} machine, not to ${kind}`);
+  return outcome.success(meta);
 }
 
 /** Reads the persisted state, or returns the reason why it cannot be read. */
 function readAll(database: RootDatabase): PersistedState | string {
   try {
-    const holdings = new Map<string, ChainHolding>();
+    const holdings = new Map<string, PersistedChain>();
     for (const { key, value } of database.getRange({
       start: ["state"],
       end: ["state", "\uffff"],
@@ -346,12 +346,12 @@
   }
 }
 
-function readHolding(database: RootDatabase, chain: string, state: ChainState): ChainHolding {
+function readHolding(database: RootDatabase, chain: string, state: ChainState): PersistedChain {
   const records: Change[] = [];
   for (const { key, value } of database.getRange(recordKeyRange(chain)))
     records.push([(key as string[])[2]!, value]);
-  const entries: Entry[] = [];
-  for (const { value } of database.getRange(entryKeyRange(chain))) entries.push(value as Entry);
+  const entries: LogEntry[] = [];
+  for (const { value } of database.getRange(entryKeyRange(chain))) entries.push(value as LogEntry);
   return { state, records, entries };
 }
 
--- a/packages/shell/src/frames.ts
+++ b/packages/shell/src/frames.ts
@@ -53,7 +53,7 @@
 function frameSizeAt(bytes: Buffer): number | undefined {
   if (bytes.length < LENGTH_BYTES) return undefined;
   const length = bytes.readUInt32BE(0);
-  if (length > constants.messageMost)
+  if (length > constants.maxMessageBytes)
     throw new FrameError(`a message of ${length} bytes exceeds the size limit`);
   return length + LENGTH_BYTES;
 }
--- a/packages/shell/src/gateway.ts
+++ b/packages/shell/src/gateway.ts
@@ -132,7 +132,7 @@
       )
         replyTrouble(response, 413, {
           trouble: "body-too-large",
-          reason: `the body may have ${constants.bodyMost} bytes at most`,
+          reason: `the body may have ${constants.maxBodyBytes} bytes at most`,
         });
       else if (status >= 400 && status < 500)
         replyTrouble(response, 400, {
@@ -155,12 +155,12 @@
       const timing =
         whole === undefined
           ? {
-              headersTimeout: constants.headersPatience,
-              requestTimeout: constants.bodyPatience,
+              headersTimeout: constants.headersTimeoutMs,
+              requestTimeout: constants.bodyTimeoutMs,
               connectionsCheckingInterval: 1_000,
               keepAliveTimeout: 30_000,
             }
-          : { connectionsCheckingInterval: constants.slowCheckEvery };
+          : { connectionsCheckingInterval: constants.slowCallerCheckIntervalMs };
       this.server = createServer(
         { ...timing, noDelay: true },
         whole === undefined ? this.httpHandler : receiveWhole,
@@ -172,7 +172,7 @@
       mappingPolicy: "restrict",
       mergeParams: false,
       autoAliases: false,
-      bodyParsers: { json: { strict: true, limit: constants.bodyMost, type: matchEveryBody } },
+      bodyParsers: { json: { strict: true, limit: constants.maxBodyBytes, type: matchEveryBody } },
       onError,
     };
     const api = {
@@ -230,7 +230,7 @@
     await this.#waitForResponses(timeoutMs);
     this.#isStopping = true;
     this.#answerUnfinished();
-    await this.#waitForResponses(constants.answersWrittenWithin);
+    await this.#waitForResponses(constants.replyFlushMs);
     this.#countDropped();
     await readPendingInput();
     // Before the library stops: it keeps listening for a while and then waits for the connections accepted meanwhile.
@@ -279,7 +279,7 @@
 }
 
 function defaultLimits(): CallerLimits {
-  return callerLimits.usual;
+  return callerLimits.defaults;
 }
 
 function matchEveryBody(): boolean {
