--- a/packages/shell/src/incoming-connections.ts
+++ b/packages/shell/src/incoming-connections.ts
@@ -104,7 +104,10 @@
    */
   takeCrossAcknowledgement(to: string, now: number): CrossAcknowledgement | undefined {
     const peer = this.#peers.get(to);
-    if (peer === undefined || now - peer.acknowledgedAt < constants.crossAcknowledgeEvery)
+    if (
+      peer === undefined ||
+      now - peer.acknowledgedAt < constants.piggybackedAcknowledgementIntervalMs
+    )
       return undefined;
     const { takesCrossAcknowledgements, life, connection } = peer.hello;
     if (takesCrossAcknowledgements !== true || life === undefined || connection === undefined)
@@ -123,7 +126,8 @@
 
   /** Acknowledges on the connection itself the bytes received since the last acknowledgement, if that is long enough ago. */
   #acknowledge(peer: PeerConnection | undefined, now: number): void {
-    if (peer === undefined || now - peer.acknowledgedAt < constants.acknowledgeEvery) return;
+    if (peer === undefined || now - peer.acknowledgedAt < constants.acknowledgementIntervalMs)
+      return;
     const received = peer.socket.bytesRead;
     if (received === peer.acknowledged && !peer.isCrossAcknowledgementLast) return;
     recordAcknowledgement(peer, received, now, false);
@@ -165,7 +169,7 @@
 
   /** Whether messages of a protocol version can be read here. */
   #isCompatible(mark: number): boolean {
-    return mark <= this.#options.mark + 1 && mark >= constants.wireMarkOldest;
+    return mark <= this.#options.mark + 1 && mark >= constants.oldestWireFormatVersion;
   }
 
   #refuse(socket: Socket, message: unknown): void {
--- a/packages/shell/src/metrics.ts
+++ b/packages/shell/src/metrics.ts
@@ -6,7 +6,7 @@
 const registry = new Registry();
 const registers = [registry];
 
-const buckets = [...constants.timeBounds];
+const buckets = [...constants.durationBucketsSeconds];
 
 const results = new Counter({
   name: "results_total",
@@ -25,7 +25,7 @@
   name: "wait_told_seconds",
   help: "retry delays sent to callers",
   labelNames: ["trouble"],
-  buckets: [...constants.waitBounds],
+  buckets: [...constants.waitBucketsSeconds],
   registers,
 });
 const syncs = new Histogram({
--- a/packages/shell/src/outgoing-connection.ts
+++ b/packages/shell/src/outgoing-connection.ts
@@ -9,7 +9,8 @@
 import { isAcknowledgement, type CrossAcknowledgement, type Hello } from "./wire-messages.js";
 
 /** Longest time in ms in which messages may be sent on a connection without any acknowledgement. */
-const MAX_UNANSWERED_MS = 2 * (constants.acknowledgeEvery + constants.acknowledgementPatience);
+const MAX_UNANSWERED_MS =
+  2 * (constants.acknowledgementIntervalMs + constants.acknowledgementTimeoutMs);
 
 /** Options shared by all outgoing connections of a process. */
 export interface OutgoingOptions {
@@ -66,7 +67,7 @@
     if (this.#connection === undefined) return false;
     const { batch } = this.#connection;
     this.#hadMessages = true;
-    if (batch.unsentBytes > constants.wireBacklog) return false;
+    if (batch.unsentBytes > constants.maxWireBacklogBytes) return false;
     const acknowledgement = this.#options.takeCrossAcknowledgement(this.#to);
     if (acknowledgement !== undefined) batch.add(encodeFrame(acknowledgement));
     batch.add(encodeFrame(message));
@@ -117,7 +118,7 @@
     this.#options.counts.stalled += 1;
     this.#options.log.warn({ to: this.#to }, "connection to another process stalled; closing it");
     if (!progress.hasAnswered) this.#unansweredHellos += 1;
-    if (this.#unansweredHellos >= constants.unansweredHellos) this.#peerAcknowledges = false;
+    if (this.#unansweredHellos >= constants.maxUnansweredHellos) this.#peerAcknowledges = false;
     // A reset discards what the kernel has not delivered, so that it cannot arrive after messages of the next connection.
     socket.resetAndDestroy();
     this.#closed(socket);
@@ -142,7 +143,7 @@
     function abortConnect(): void {
       if (socket.connecting) socket.destroy();
     }
-    const connectTimeout = setTimeout(abortConnect, constants.connectPatience);
+    const connectTimeout = setTimeout(abortConnect, constants.connectTimeoutMs);
     function connected(): void {
       self.#connected();
     }
@@ -169,7 +170,7 @@
   #closed(socket: Socket): void {
     if (this.#connection?.socket !== socket) return;
     this.#connection = undefined;
-    this.#retryAt = performance.now() + constants.reconnectAfter;
+    this.#retryAt = performance.now() + constants.reconnectDelayMs;
     this.#options.counts.lost += 1;
     if (this.#wasConnected)
       this.#options.log.info({ to: this.#to }, "connection to another process lost");
--- a/packages/shell/src/settings.ts
+++ b/packages/shell/src/settings.ts
@@ -131,10 +131,10 @@
   try {
     const value: unknown = JSON.parse(readFileSync(path, "utf8"));
     if (typeof value !== "object" || value === null || Array.isArray(value))
-      return outcome.bad(`${path}: must hold one JSON object`);
-    return outcome.good(value as Record<string, unknown>);
+      return outcome.failure(`${path}: must hold one JSON object`);
+    return outcome.success(value as Record<string, unknown>);
   } catch (error) {
-    return outcome.bad(`${path}: ${(error as Error).message}`);
+    return outcome.failure(`${path}: ${(error as Error).message}`);
   }
 }
 
@@ -151,7 +151,7 @@
   if (seeds !== undefined) values["seeds"] = seeds.split(",");
   const checked = check(values);
   if (checked.ok && needsData && checked.value.data === undefined)
-    return outcome.bad("data: is needed here");
+    return outcome.failure("data: is needed here");
   return checked;
 }
 
@@ -165,15 +165,15 @@
 
 /** The policy derived from the bounds of the deployment, or the default policy. */
 function policyOf(checked: Settings): Policy {
-  if (checked.bounds === undefined) return policy.usual;
+  if (checked.bounds === undefined) return policy.defaults;
   const derived = policy.from(checked.bounds);
-  return derived.ok ? derived.value : policy.usual;
+  return derived.ok ? derived.value : policy.defaults;
 }
 
 /** Validates settings, wherever they come from. */
 function check(input: unknown): Outcome<Settings> {
   const checked = settingsSchema.safeParse(input);
-  return checked.success ? outcome.good(checked.data) : outcome.bad(explain(checked.error));
+  return checked.success ? outcome.success(checked.data) : outcome.failure(explain(checked.error));
 }
 
 export const settings = { read, check, policyOf };
--- a/packages/shell/src/wire.ts
+++ b/packages/shell/src/wire.ts
@@ -74,7 +74,7 @@
 
   /** Protocol version that this process uses. */
   get mark(): number {
-    return this.#options.mark ?? constants.wireMark;
+    return this.#options.mark ?? constants.wireFormatVersion;
   }
 
   /** Connections refused because the other process uses an incompatible protocol version. */
@@ -122,7 +122,7 @@
     const elapsed = now - (this.#lastTickAt ?? now);
     this.#lastTickAt = now;
     // A process that was paused has not yet read what arrived meanwhile, so at most two tick intervals of a pause count.
-    const runningMs = Math.min(elapsed, constants.beatEvery * 2);
+    const runningMs = Math.min(elapsed, constants.tickIntervalMs * 2);
     for (const connection of this.#outgoing.values()) connection.elapse(runningMs);
     this.#incoming.beat(now);
   }
--- a/packages/shell/src/write-queue.ts
+++ b/packages/shell/src/write-queue.ts
@@ -51,7 +51,7 @@
 
   /** Must be called at each tick of the process; detects a commit that does not end. */
   beat(now: number): void {
-    this.#health.beat(now);
+    this.#health.tick(now);
     this.#reportCondition();
   }
 
@@ -71,20 +71,20 @@
 
   /** Commits the next batch and returns the delay in ms before the commit after it. */
   async #commitNext(): Promise<number> {
-    const batch = this.#jobs.slice(0, this.#health.batchMost);
+    const batch = this.#jobs.slice(0, this.#health.maxBatchWrites);
     const start = performance.now();
-    this.#health.began(start);
+    this.#health.commitStarted(start);
     try {
       await this.#store.commit(batch);
     } catch (error) {
       this.#lastError = error as Error;
-      const pause = this.#health.failed(performance.now());
+      const pause = this.#health.commitFailed(performance.now());
       this.#reportCondition();
       return pause;
     }
     const now = performance.now();
     this.#jobs.splice(0, batch.length);
-    this.#health.committed(now, this.#jobs.length === 0);
+    this.#health.commitSucceeded(now, this.#jobs.length === 0);
     this.commits += 1;
     metrics.committed(now - start);
     this.#reportCondition();
--- a/programs/chutewick/src/operate.ts
+++ b/programs/chutewick/src/operate.ts
@@ -87,15 +87,15 @@
         reason = String(read["reason"]);
         continue;
       }
-      return outcome.good({ status: told.statusCode, body: read });
+      return outcome.success({ status: told.statusCode, body: read });
     } catch (error) {
       const { code, message } = error as Error & { code?: string };
       reason = `${address}: ${message}`;
       if (code !== "ECONNREFUSED" && code !== "UND_ERR_CONNECT_TIMEOUT" && method !== "GET")
-        return outcome.bad(`${reason}; whether it took effect is not known`);
+        return outcome.failure(`${reason}; whether it took effect is not known`);
     }
   }
-  return outcome.bad(reason);
+  return outcome.failure(reason);
 }
 
 /** Exit codes: 0 done, 1 could not be done or is not known, 2 bad input, 3 refused, 4 lost to another change. */
--- a/tools/model/src/disk.ts
+++ b/tools/model/src/disk.ts
@@ -1,9 +1,9 @@
 import type {
-  ChainHolding,
+  PersistedChain,
   ChainState,
   ChainWrite,
   Change,
-  Entry,
+  LogEntry,
   VoteState,
 } from "@chutewick/parts";
 
@@ -20,7 +20,7 @@
 interface StoredChain {
   state: ChainState;
   readonly records: Map<string, unknown>;
-  readonly entries: Map<number, Entry>;
+  readonly entries: Map<number, LogEntry>;
 }
 
 export class Disk {
@@ -52,7 +52,7 @@
     const stored = this.chains.get(chain) ?? {
       state: write.state,
       records: new Map<string, unknown>(),
-      entries: new Map<number, Entry>(),
+      entries: new Map<number, LogEntry>(),
     };
     if (write.clear) {
       stored.records.clear();
@@ -79,8 +79,8 @@
   }
 
   /** All chains as a process finds them at its start. */
-  holdings(): Map<string, ChainHolding> {
-    const holdings = new Map<string, ChainHolding>();
+  holdings(): Map<string, PersistedChain> {
+    const holdings = new Map<string, PersistedChain>();
     for (const [chain, { state, records, entries }] of this.chains)
       holdings.set(chain, {
         state,
@@ -91,6 +91,6 @@
   }
 }
 
-function byPlace(left: Entry, right: Entry): number {
+function byPlace(left: LogEntry, right: LogEntry): number {
   return left.place - right.place;
 }
--- a/tools/model/src/process.ts
+++ b/tools/model/src/process.ts
@@ -5,7 +5,7 @@
   type ControlOutcome,
 } from "@chutewick/control";
 import { Membership, StorageCore, type DataMessage, type Standing } from "@chutewick/data";
-import type { Policy, Telling } from "@chutewick/parts";
+import type { Policy, NodeReport } from "@chutewick/parts";
 import type { Disk, DiskWrite } from "./disk.js";
 
 /** The product's own cores, each as one process that takes events and returns outputs. */
@@ -59,15 +59,15 @@
     return this.core.start(now);
   }
   beat(now: number): readonly Output[] {
-    return this.core.beat(now, now);
+    return this.core.tick(now, now);
   }
   receive(message: DataMessage, from: string, now: number): readonly Output[] {
     return this.core.receive(message as ControlMessage, from, now);
   }
   written(write: DiskWrite, now: number): readonly Output[] {
     return write.kind === "vote"
-      ? this.core.writtenVote(write.ticket, now)
-      : this.core.writtenChain(write.ticket, now);
+      ? this.core.voteWritten(write.ticket, now)
+      : this.core.chainWritten(write.ticket, now);
   }
   leave(now: number): readonly Output[] {
     return this.core.leave(now);
@@ -143,6 +143,6 @@
   return { identity: disk.identity, address: name, kind, zone: "zone", name, http: name };
 }
 
-function tellNothing(): Telling {
+function tellNothing(): NodeReport {
   return {};
 }
--- a/tools/model/src/start.ts
+++ b/tools/model/src/start.ts
@@ -5,7 +5,7 @@
 
 /** Start states, each made by a calm run of the product from blank folders. */
 
-const alone: Policy = { ...policy.usual, goesOnAlone: true };
+const alone: Policy = { ...policy.defaults, goesOnAlone: true };
 const twoLosses: Policy = {
   ...alone,
   copiesLeast: 3,
--- a/tools/model/src/world.ts
+++ b/tools/model/src/world.ts
@@ -21,7 +21,7 @@
 /** ms of one tick: each machine gets a beat, and all time-outs of the product are some ticks long. */
 export const TICK = 200;
 /** Part by which the clock of a machine may go faster or slower; two are apart by twice that at most. */
-export const DRIFT = constants.clockRatesApart / 2;
+export const DRIFT = constants.maxClockDriftFraction / 2;
 /** Events after which a world without a tick must have come to rest. */
 const EVENTS_MOST = 20_000;
 /** Ticks within which a calm run must have come to a start state. */
@@ -206,7 +206,7 @@
     for (const host of this.ownAll()) {
       const { process } = host;
       if (host.leaving === undefined || host.isFrozen) continue;
-      const isLate = host.clock - host.leavingSince > constants.handOverPatience;
+      const isLate = host.clock - host.leavingSince > constants.handOverTimeoutMs;
       const isNeeded = process instanceof ControlProcess && process.core.isNeeded;
       if (!isLate && !isNeeded && host.upSince !== undefined) checkCanGoOn(this, host);
       if (isLate || !isNeeded) this.letGo(host);
@@ -322,7 +322,7 @@
   }
 
   granted(host: Host, node: string, mark: number): void {
-    const until = this.now + (constants.leaseLasts / (1 - DRIFT)) * (1 + DRIFT);
+    const until = this.now + (constants.leaseDurationMs / (1 - DRIFT)) * (1 + DRIFT);
     const granter = host.disk.identity;
     this.history.granted({ node, granter, mark, until }, this.now);
   }
--- a/tools/runner/src/runner.ts
+++ b/tools/runner/src/runner.ts
@@ -74,7 +74,7 @@
       void self.announce();
     }
     announce();
-    this.#announcing = setInterval(announce, constants.announceEvery);
+    this.#announcing = setInterval(announce, constants.announceIntervalMs);
   }
 
   /** Tells one access node; at trouble the next is told. */
@@ -87,8 +87,8 @@
         const told = await request(`http://${to}/runners`, {
           method: "POST",
           headers: { "content-type": "application/json" },
-          headersTimeout: constants.announcePatience,
-          bodyTimeout: constants.announcePatience,
+          headersTimeout: constants.announceTimeoutMs,
+          bodyTimeout: constants.announceTimeoutMs,
           body: JSON.stringify({
             id,
             incarnation: this.incarnation,
--- a/tools/simulator/src/campaign/copies.ts
+++ b/tools/simulator/src/campaign/copies.ts
@@ -1,4 +1,4 @@
-import type { ChainHolding, ChainView } from "@chutewick/parts";
+import type { PersistedChain, ChainView } from "@chutewick/parts";
 import { zoneNamed } from "../machines.js";
 import { CONTROL_CHAIN, QUEUE_PREFIX } from "../stuck.js";
 import type { Machine } from "../world.js";
@@ -66,7 +66,7 @@
   return true;
 }
 
-function holdingOf(machine: Machine, chain: string): ChainHolding | undefined {
+function holdingOf(machine: Machine, chain: string): PersistedChain | undefined {
   return machine.folder!.holdings().get(chain);
 }
 
--- a/tools/simulator/src/campaign/fleet.ts
+++ b/tools/simulator/src/campaign/fleet.ts
@@ -21,7 +21,7 @@
 const ADDED_STORAGE_NUMBER = 4;
 
 const twoLostPolicy: Policy = {
-  ...policy.usual,
+  ...policy.defaults,
   copiesLeast: 3,
   copiesWanted: 4,
   controlsWanted: 5,
--- a/tools/simulator/src/campaign/runner-reports.ts
+++ b/tools/simulator/src/campaign/runner-reports.ts
@@ -37,7 +37,7 @@
     const { world, runners } = this.#fleet;
     for (const runner of runners) {
       const announce = (): void => {
-        world.after(constants.announceEvery, announce);
+        world.after(constants.announceIntervalMs, announce);
         this.#announce(runner, ANNOUNCE_TRIES);
       };
       world.after(world.chance.between(0, FIRST_ANNOUNCE_MOST), announce);
@@ -79,8 +79,8 @@
     const again = (): void => this.#announce(runner, tries - 1);
     if (!access.alive) return world.after(REFUSED_AFTER, again);
     if (world.isCut(access.address, runner.address))
-      return world.after(constants.announcePatience, again);
-    if (access.frozen) world.after(constants.announcePatience, again);
+      return world.after(constants.announceTimeoutMs, again);
+    if (access.frozen) world.after(constants.announceTimeoutMs, again);
     const card = {
       id: runner.id,
       incarnation: runner.incarnation,
--- a/tools/simulator/src/checker/lot-rules.ts
+++ b/tools/simulator/src/checker/lot-rules.ts
@@ -75,7 +75,7 @@
 function checkFailed(lot: LotRecord, item: Item, runs: readonly RunRecord[], report: Report): void {
   let troubles = 0;
   for (const run of runs) if (run.ending === "trouble") troubles += 1;
-  if (troubles < constants.troublesMost)
+  if (troubles < constants.maxFailedAttempts)
     report(
       "given-up-early",
       `${lot.key} item ${item.index} failed after ${troubles} troubles: ${item.reason ?? ""}`,
--- a/tools/simulator/src/deployment.ts
+++ b/tools/simulator/src/deployment.ts
@@ -3,7 +3,7 @@
   type Bounds,
   type ChainView,
   type Policy,
-  type RunnerCard,
+  type RunnerDescriptor,
 } from "@chutewick/parts";
 import { configuration, keys, type ControlCommand, type ControlOutcome } from "@chutewick/control";
 import {
@@ -209,7 +209,7 @@
     url = `${id}:8080`,
   ): string {
     this.#reports.set(id, Math.max(sequence, this.#reports.get(id) ?? 0));
-    const card: Omit<RunnerCard, "age"> = {
+    const card: Omit<RunnerDescriptor, "age"> = {
       id,
       incarnation: 1,
       url,
--- a/tools/simulator/src/duties/duty-deployment.ts
+++ b/tools/simulator/src/duties/duty-deployment.ts
@@ -48,10 +48,10 @@
   #beat(machine: ControlMachine): void {
     const { world } = this.deployment;
     if (machine.alive && !machine.frozen) {
-      const ground = machine.core.dutySituation(machine.now);
+      const ground = machine.core.dutyContext(machine.now);
       if (ground?.isConfigured === true) this.#hostOf(machine).beat(ground);
     }
-    world.after(constants.beatEvery, () => this.#beat(machine));
+    world.after(constants.tickIntervalMs, () => this.#beat(machine));
   }
 
   #hostOf(machine: ControlMachine): DutyHost {
--- a/tools/simulator/src/duties/duty-group.ts
+++ b/tools/simulator/src/duties/duty-group.ts
@@ -1,5 +1,5 @@
 import {
-  ControlMachine as ControlRecords,
+  ControlStateMachine as ControlRecords,
   keys,
   type ControlCommand,
   type ControlOutcome,
@@ -88,7 +88,7 @@
   #enter(ticket: string, command: ControlCommand, from: string): void {
     const time = this.#world.now - this.#behind;
     const value = this.#records.apply(this.#ledger, command, time);
-    if (this.#ledger.takeChanges().length > 0) this.#place += 1;
+    if (this.#ledger.drainChanges().length > 0) this.#place += 1;
     const outcome: ControlOutcome = { kind: "confirmed", value, place: this.#place };
     this.#world.send(this.address, from, { kind: "told", ticket, outcome } satisfies ToldMessage);
     this.#tellAll();
--- a/tools/simulator/src/machines/access-machine.ts
+++ b/tools/simulator/src/machines/access-machine.ts
@@ -1,11 +1,11 @@
 import { constants } from "@chutewick/parts";
 import {
   AccessCore,
-  isPassing,
+  isPassageOutput,
   type AccessOutput,
   type DataMessage,
   type GoEvent,
-  type PassOutput,
+  type PassageOutput,
   type Work,
 } from "@chutewick/data";
 import type { Runner } from "../runners.js";
@@ -50,7 +50,7 @@
   /** ms by which its wall clock is ahead. */
   wallStep = 0;
   /** What passages tell, where a play has them. */
-  passing: ((output: PassOutput) => void) | undefined;
+  passing: ((output: PassageOutput) => void) | undefined;
   readonly #seeds: readonly string[];
   readonly #setting: Setting;
   readonly #hooks: AccessHooks;
@@ -119,7 +119,7 @@
   /** Carries out what the core wants. */
   perform(outputs: readonly AccessOutput[]): void {
     for (const output of outputs) {
-      if (isPassing(output)) {
+      if (isPassageOutput(output)) {
         this.passing?.(output);
         continue;
       }
@@ -143,7 +143,7 @@
   }
 
   #show(
-    output: Exclude<AccessOutput, PassOutput | { kind: "send" | "run" | "abandon" | "note" }>,
+    output: Exclude<AccessOutput, PassageOutput | { kind: "send" | "run" | "abandon" | "note" }>,
   ): void {
     const sight = this.#sights.get(output.ticket);
     if (sight === undefined) return;
@@ -174,7 +174,7 @@
       this.#tell(attempt, { kind: "unsent", reason: "connection refused" });
     if (runner === undefined || !runner.alive) return world.after(REFUSED_AFTER, unreachable);
     if (world.isCut(this.address, runner.address))
-      return world.after(constants.connectPatience, unreachable);
+      return world.after(constants.connectTimeoutMs, unreachable);
     const connected = this.mine(() => this.#connected(attempt, runner));
     world.after(world.chance.between(...CONNECT_TAKES), connected);
   }
--- a/tools/simulator/src/machines/control-machine.ts
+++ b/tools/simulator/src/machines/control-machine.ts
@@ -1,7 +1,7 @@
-import type { DiskCondition, RunnerCard } from "@chutewick/parts";
+import type { DiskCondition, RunnerDescriptor } from "@chutewick/parts";
 import {
   ControlCore,
-  type Announced,
+  type ReportAnswer,
   type ControlCommand,
   type ControlMessage,
   type ControlOutcome,
@@ -48,7 +48,7 @@
   }
 
   protected strike(): void {
-    this.#perform(this.core.beat(this.now, this.world.wall + this.wallStep));
+    this.#perform(this.core.tick(this.now, this.world.wall + this.wallStep));
   }
 
   arrived(message: unknown, from: string): void {
@@ -56,7 +56,7 @@
   }
 
   /** A runner's own report, numbered as it numbers them. */
-  announce(card: Omit<RunnerCard, "age">, sequence: number): Announced["kind"] {
+  announce(card: Omit<RunnerDescriptor, "age">, sequence: number): ReportAnswer["kind"] {
     const { told, outputs } = this.core.announce(card, sequence, this.now);
     this.#perform(outputs);
     return told.kind;
@@ -98,7 +98,7 @@
     const copy = folder.copy(write);
     this.sync(
       () => folder.write("control", copy),
-      () => this.#perform(this.core.writtenChain(ticket, this.now)),
+      () => this.#perform(this.core.chainWritten(ticket, this.now)),
     );
   }
 
@@ -109,7 +109,7 @@
       () => {
         folder.votes = copy;
       },
-      () => this.#perform(this.core.writtenVote(ticket, this.now)),
+      () => this.#perform(this.core.voteWritten(ticket, this.now)),
     );
   }
 }
--- a/tools/simulator/src/passages/exchanges.ts
+++ b/tools/simulator/src/passages/exchanges.ts
@@ -1,4 +1,4 @@
-import type { AccessOutput, LotCall, LotTold } from "@chutewick/data";
+import type { AccessOutput, LotCall, LotReply } from "@chutewick/data";
 import type { LotInput } from "@chutewick/history";
 import type { AccessMachine } from "../machines.js";
 import { lotOperationOf } from "./lot-operations.js";
@@ -15,14 +15,14 @@
 
 /** Who hears the answer, undefined where none came in time, and for how many ms it is waited for. */
 export interface Answered {
-  readonly told: (told: LotTold | undefined) => void;
+  readonly told: (told: LotReply | undefined) => void;
   readonly patience?: number;
 }
 
 /** Requests of clients to any access node, each with at most one answer. */
 export class LotExchanges {
   readonly #fleet: PassFleet;
-  readonly #waiting = new Map<string, (told: LotTold) => void>();
+  readonly #waiting = new Map<string, (told: LotReply) => void>();
   #ticketNumber = 0;
 
   constructor(fleet: PassFleet) {
@@ -37,7 +37,7 @@
   }
 
   /** A node answers. */
-  answer(ticket: string, told: LotTold): void {
+  answer(ticket: string, told: LotReply): void {
     const waiting = this.#waiting.get(ticket);
     this.#waiting.delete(ticket);
     waiting?.(told);
@@ -50,7 +50,7 @@
     this.#ticketNumber += 1;
     const ticket = `caller-${this.#ticketNumber}`;
     let hasEnded = false;
-    const end = (answer: LotTold | undefined): void => {
+    const end = (answer: LotReply | undefined): void => {
       if (hasEnded) return;
       hasEnded = true;
       told(answer);
@@ -69,7 +69,7 @@
   askLot(lot: LotSight, input: LotInput, enter: Enter, { told, patience }: Answered): void {
     const { world } = this.#fleet;
     const calledAt = world.now;
-    const tell = (answer: LotTold | undefined): void => {
+    const tell = (answer: LotReply | undefined): void => {
       const exchange = { lot: lot.id, input, calledAt, returnedAt: world.now, told: answer };
       lot.operations.push(lotOperationOf(exchange));
       told(answer);
--- a/tools/simulator/src/passages/lot-clients.ts
+++ b/tools/simulator/src/passages/lot-clients.ts
@@ -1,4 +1,4 @@
-import type { LotEntry, LotTold } from "@chutewick/data";
+import type { LotEntry, LotReply } from "@chutewick/data";
 import type { Enter, LotExchanges } from "./exchanges.js";
 import type { LotReader } from "./lot-reader.js";
 import type { PassFleet } from "./pass-fleet.js";
@@ -69,7 +69,7 @@
   end(lot: LotSight): void {
     const { world } = this.#fleet;
     lot.endAskedAt ??= world.now;
-    const told = (answer: LotTold | undefined): void => {
+    const told = (answer: LotReply | undefined): void => {
       this.#fleet.count(`end ${answer?.kind ?? "silence"}`);
       if (answer?.kind === "ended") lot.endedAt ??= world.now;
       else if (answer?.kind !== "missing") world.after(END_PAUSE, () => this.end(lot));
@@ -115,18 +115,18 @@
         { ...this.#exchanges.callOn(lot), path: pathOf("x"), entries: lot.entries },
         world.now,
       );
-    const told = (answer: LotTold | undefined): void => this.#submitted(lot, answer);
+    const told = (answer: LotReply | undefined): void => this.#submitted(lot, answer);
     this.#exchanges.askLot(lot, { kind: "admit" }, enter, { told });
     const isSentTwice = world.chance.happens(TWICE_SHARE) && lot.tries.length === 0;
     if (!isSentTwice) return;
-    const twice = (answer: LotTold | undefined): void => {
+    const twice = (answer: LotReply | undefined): void => {
       if (answer?.kind === "taken" && lot.takenAt === undefined) told(answer);
       else lot.tries.push(answer?.kind ?? "silence");
     };
     this.#exchanges.askLot(lot, { kind: "admit" }, enter, { told: twice });
   }
 
-  #submitted(lot: LotSight, answer: LotTold | undefined): void {
+  #submitted(lot: LotSight, answer: LotReply | undefined): void {
     const { world } = this.#fleet;
     const outcome = answer === undefined ? "silence" : answer.kind;
     lot.tries.push(outcome);
--- a/tools/simulator/src/passages/lot-operations.ts
+++ b/tools/simulator/src/passages/lot-operations.ts
@@ -1,4 +1,4 @@
-import type { LotTold } from "@chutewick/data";
+import type { LotReply } from "@chutewick/data";
 import type { LotInput, LotOperation, LotOutput } from "@chutewick/history";
 
 /** What the callers of a lot on a passage saw, as tools/history judges it (docs/testing.md §4). */
@@ -10,12 +10,12 @@
   /** ms of virtual time. */
   readonly calledAt: number;
   readonly returnedAt: number;
-  readonly told: LotTold | undefined;
+  readonly told: LotReply | undefined;
 }
 
 function resultsOutput(
   from: number,
-  { results, total }: Extract<LotTold, { kind: "results" }>,
+  { results, total }: Extract<LotReply, { kind: "results" }>,
 ): LotOutput {
   const isWhole = from + results.length === total;
   return {
--- a/tools/simulator/src/passages/lot-reader.ts
+++ b/tools/simulator/src/passages/lot-reader.ts
@@ -1,4 +1,4 @@
-import type { LotResult, LotTold } from "@chutewick/data";
+import type { LotResult, LotReply } from "@chutewick/data";
 import type { Enter, LotExchanges } from "./exchanges.js";
 import type { PassFleet } from "./pass-fleet.js";
 import { bodyOf, eventDataOf, type ItemRecord, type LotSight } from "./records.js";
@@ -32,7 +32,7 @@
   /** Reads a lot's results at any node; `after` is called whatever came. */
   read(lot: LotSight, { from, hold }: Reading, after: () => void): void {
     const { world } = this.#fleet;
-    const told = (answer: LotTold | undefined): void => {
+    const told = (answer: LotReply | undefined): void => {
       this.#fleet.count(`read ${answer?.kind ?? "silence"}`);
       if (answer?.kind === "unauthorized")
         this.#fleet.violation(`a reader of ${lot.id} is unknown`);
@@ -52,7 +52,7 @@
   readBody(lot: LotSight): void {
     const { world } = this.#fleet;
     const { id } = world.chance.pick(lot.entries);
-    const told = (answer: LotTold | undefined): void => {
+    const told = (answer: LotReply | undefined): void => {
       if (answer?.kind === "body" && new TextDecoder().decode(answer.bytes) !== bodyOf(id))
         this.#fleet.violation(`the body of ${id} differs`);
       if (answer?.kind === "missing" && lot.endAskedAt === undefined)
@@ -86,8 +86,8 @@
     );
   }
 
-  #judgeStranger({ id }: LotSight, expected: LotTold["kind"], enter: Enter): void {
-    const told = (answer: LotTold | undefined): void => {
+  #judgeStranger({ id }: LotSight, expected: LotReply["kind"], enter: Enter): void {
+    const told = (answer: LotReply | undefined): void => {
       const kind = answer?.kind ?? "silence";
       this.#fleet.count(`stranger ${kind}`);
       if (kind !== expected && kind !== "later" && kind !== "silence")
@@ -109,7 +109,7 @@
   #see(
     lot: LotSight,
     from: number,
-    { total, results, next }: Extract<LotTold, { kind: "results" }>,
+    { total, results, next }: Extract<LotReply, { kind: "results" }>,
   ): void {
     if (total !== lot.items.size || next !== from + results.length)
       this.#fleet.violation(`${lot.id}: total ${total}, next ${next}`);
--- a/tools/simulator/src/passages/pass-attempt.ts
+++ b/tools/simulator/src/passages/pass-attempt.ts
@@ -1,5 +1,5 @@
 import { isDeepStrictEqual } from "node:util";
-import type { PassEvent, PassWork } from "@chutewick/data";
+import type { PassageEvent, PassageWork } from "@chutewick/data";
 import { constants } from "@chutewick/parts";
 import type { AccessMachine } from "../machines.js";
 import { PASSAGE_HOST, type PassFleet } from "./pass-fleet.js";
@@ -31,7 +31,7 @@
   readonly machine: AccessMachine;
   readonly go: number;
   readonly runner: PassRunner;
-  readonly work: PassWork;
+  readonly work: PassageWork;
 }
 
 /** One sending of an item to a runner, as the runner and the link to it behave. */
@@ -62,14 +62,14 @@
     this.#ended();
   }
 
-  #tell(event: PassEvent): void {
+  #tell(event: PassageEvent): void {
     const { machine, go } = this.#sending;
     const { world } = this.#fleet;
     if (machine.life !== this.#life) return;
     machine.mine(() => machine.perform(machine.core.passEvent(go, event, world.now)))();
   }
 
-  #tellLast(event: PassEvent): void {
+  #tellLast(event: PassageEvent): void {
     if (this.#isOver) return;
     this.stop();
     this.#tell(event);
@@ -97,7 +97,7 @@
   /** A dark runner answers no connection. */
   #unreached(): void {
     const unsent = { kind: "unsent", reason: "no connection" } as const;
-    this.#fleet.world.after(constants.passPatience, () => this.#tellLast(unsent));
+    this.#fleet.world.after(constants.passConnectTimeoutMs, () => this.#tellLast(unsent));
   }
 
   #begin(): void {
--- a/tools/simulator/src/passages/pass-play.ts
+++ b/tools/simulator/src/passages/pass-play.ts
@@ -1,4 +1,4 @@
-import type { PassOutput } from "@chutewick/data";
+import type { PassageOutput } from "@chutewick/data";
 import { judge, lotLog } from "@chutewick/history";
 import type { AccessMachine } from "../machines.js";
 import { LotExchanges } from "./exchanges.js";
@@ -88,7 +88,7 @@
         this.violation(`${lot.id}: ${rule}: ${facts}`);
   }
 
-  #passing(machine: AccessMachine, output: PassOutput): void {
+  #passing(machine: AccessMachine, output: PassageOutput): void {
     switch (output.kind) {
       case "lot-told":
         return this.#exchanges.answer(output.ticket, output.told);
--- a/tools/simulator/src/passages/pass-runners.ts
+++ b/tools/simulator/src/passages/pass-runners.ts
@@ -1,5 +1,5 @@
 import { constants } from "@chutewick/parts";
-import type { PassOutput } from "@chutewick/data";
+import type { PassageOutput } from "@chutewick/data";
 import type { AccessMachine } from "../machines.js";
 import { PassAttempt } from "./pass-attempt.js";
 import type { PassFleet } from "./pass-fleet.js";
@@ -26,7 +26,7 @@
     const { world, runners } = this.#fleet;
     for (const runner of runners) {
       const announce = (): void => {
-        world.after(constants.announceEvery, announce);
+        world.after(constants.announceIntervalMs, announce);
         if (!runner.alive || runner.isDark) return;
         for (let number = 0; number < ANNOUNCED_TO; number += 1) this.#announce(runner);
       };
@@ -37,7 +37,7 @@
   /** A node sends an item to a runner. */
   run(
     machine: AccessMachine,
-    { go, address, work }: Extract<PassOutput, { kind: "pass-run" }>,
+    { go, address, work }: Extract<PassageOutput, { kind: "pass-run" }>,
   ): void {
     const runner = this.#fleet.runners.find((each) => each.address === address)!;
     const key = attemptKey(machine, go);
--- a/tools/simulator/src/record.ts
+++ b/tools/simulator/src/record.ts
@@ -34,6 +34,6 @@
 }
 mkdirSync("features/marks", { recursive: true });
 writeFileSync(
-  `features/marks/mark-${constants.wireMark}.json`,
-  `${JSON.stringify({ wireMark: constants.wireMark, diskMark: constants.diskMark, messages, folders }, undefined, 1)}\n`,
+  `features/marks/mark-${constants.wireFormatVersion}.json`,
+  `${JSON.stringify({ wireMark: constants.wireFormatVersion, diskMark: constants.diskFormatVersion, messages, folders }, undefined, 1)}\n`,
 );
--- a/tools/simulator/src/world/folder.ts
+++ b/tools/simulator/src/world/folder.ts
@@ -1,9 +1,9 @@
 import type {
-  ChainHolding,
+  PersistedChain,
   ChainState,
   ChainWrite,
   Change,
-  Entry,
+  LogEntry,
   VoteState,
 } from "@chutewick/parts";
 import { Packr } from "msgpackr";
@@ -14,7 +14,7 @@
   votes: VoteState | undefined;
   #chains = new Map<
     string,
-    { state: ChainState; records: Map<string, unknown>; entries: Map<number, Entry> }
+    { state: ChainState; records: Map<string, unknown>; entries: Map<number, LogEntry> }
   >();
   #packer = new Packr({ useRecords: false });
 
@@ -32,7 +32,7 @@
     const held = this.#chains.get(chain) ?? {
       state: write.state,
       records: new Map<string, unknown>(),
-      entries: new Map<number, Entry>(),
+      entries: new Map<number, LogEntry>(),
     };
     if (write.clear) {
       held.records.clear();
@@ -49,8 +49,8 @@
   }
 
   /** What is held of each chain, entries by place. */
-  holdings(): Map<string, ChainHolding> {
-    const found = new Map<string, ChainHolding>();
+  holdings(): Map<string, PersistedChain> {
+    const found = new Map<string, PersistedChain>();
     for (const [chain, { state, records, entries }] of this.#chains) {
       const sorted = [...entries.values()].sort(byPlace);
       found.set(chain, this.copy({ state, records: [...records] as Change[], entries: sorted }));
@@ -59,6 +59,6 @@
   }
 }
 
-function byPlace(left: Entry, right: Entry): number {
+function byPlace(left: LogEntry, right: LogEntry): number {
   return left.place - right.place;
 }
--- a/tools/simulator/src/world/machine.ts
+++ b/tools/simulator/src/world/machine.ts
@@ -69,12 +69,12 @@
   #beat(): void {
     const self = this;
     function beat(): void {
-      self.#health.beat(self.world.now);
+      self.#health.tick(self.world.now);
       self.#tellCondition();
       self.strike();
       self.#beat();
     }
-    this.world.after(constants.beatEvery / this.clockRate, this.mine(beat));
+    this.world.after(constants.tickIntervalMs / this.clockRate, this.mine(beat));
   }
 
   /** Work of this life: held while frozen, dropped when dead. */
@@ -144,21 +144,21 @@
     const { world, life } = this;
     const self = this;
     const waiting = this.#unsynced.length;
-    const count = Math.min(this.#health.batchMost, waiting);
+    const count = Math.min(this.#health.maxBatchWrites, waiting);
     this.#syncing = count > 0;
     if (count === 0) return;
     const isFull = world.now < this.diskFullUntil;
-    this.#health.began(world.now);
+    this.#health.commitStarted(world.now);
     function again(): void {
       if (self.life === life && self.alive) self.#syncBatch();
     }
     function judge(): void {
-      const pause = self.#health.failed(world.now);
+      const pause = self.#health.commitFailed(world.now);
       self.#tellCondition();
       world.after(pause, again);
     }
     function judgeDone(): void {
-      self.#health.committed(world.now, self.#unsynced.length === 0);
+      self.#health.commitSucceeded(world.now, self.#unsynced.length === 0);
       self.#tellCondition();
     }
     function ended(): void {
--- a/tools/simulator/src/world/world.ts
+++ b/tools/simulator/src/world/world.ts
@@ -32,7 +32,7 @@
   /** ms by which the wall clock of all machines was stepped. */
   wallStep = 0;
   /** What every machine is told of its deployment. */
-  policy: Policy = policy.usual;
+  policy: Policy = policy.defaults;
   /** ms that a disk takes to sync. */
   syncTakes: readonly [least: number, most: number] = [0.2, 2];
   /** What happened so far, counted. */
--- a/tools/simulator/src/worlds/lot-clients.ts
+++ b/tools/simulator/src/worlds/lot-clients.ts
@@ -1,4 +1,4 @@
-import type { LotTold } from "@chutewick/data";
+import type { LotReply } from "@chutewick/data";
 import { wholeText } from "./answers.js";
 import { HOST } from "./configuration.js";
 import type { Enter, Router } from "./router.js";
@@ -8,7 +8,7 @@
 const PATIENCE = 2_500;
 const ITEMS_MOST = 3;
 
-type Told = (told: LotTold | undefined) => void;
+type Told = (told: LotReply | undefined) => void;
 
 /** Callers that hand in lots and later read each of those that were taken. */
 export class LotClients {
--- a/tools/simulator/src/worlds/router.ts
+++ b/tools/simulator/src/worlds/router.ts
@@ -1,11 +1,11 @@
-import type { AccessOutput, PassOutput } from "@chutewick/data";
+import type { AccessOutput, PassageOutput } from "@chutewick/data";
 import type { AccessMachine } from "../machines.js";
 import type { Site } from "./site.js";
 
 /** What an access node tells a caller by its ticket. */
-export type CallerOutput = Extract<PassOutput, { readonly ticket: string }>;
+export type CallerOutput = Extract<PassageOutput, { readonly ticket: string }>;
 /** What an access node asks of its links to runners. */
-export type LinkOutput = Exclude<PassOutput, { readonly ticket: string }>;
+export type LinkOutput = Exclude<PassageOutput, { readonly ticket: string }>;
 
 export type Enter = (access: AccessMachine, ticket: string) => readonly AccessOutput[];
 
--- a/tools/simulator/src/worlds/wrong-runners.ts
+++ b/tools/simulator/src/worlds/wrong-runners.ts
@@ -1,4 +1,4 @@
-import type { PassEvent, PassOutput, PassWork } from "@chutewick/data";
+import type { PassageEvent, PassageOutput, PassageWork } from "@chutewick/data";
 import type { AccessMachine } from "../machines.js";
 import { eventCount, eventData } from "./answers.js";
 import type { LinkOutput, Router } from "./router.js";
@@ -20,12 +20,12 @@
 const LATE_EVENT_EVERY = [300, 2_500] as const;
 const CONNECTS_IN = [0.5, 4] as const;
 
-type Run = Extract<PassOutput, { readonly kind: "pass-run" }>;
+type Run = Extract<PassageOutput, { readonly kind: "pass-run" }>;
 
 /** One step of an answer on its way. */
 interface Step {
   readonly after: number;
-  readonly event: PassEvent;
+  readonly event: PassageEvent;
 }
 
 interface Link {
@@ -109,17 +109,17 @@
     return "right";
   }
 
-  #steps(work: PassWork, wrong: Wrong): Step[] {
+  #steps(work: PassageWork, wrong: Wrong): Step[] {
     const { chance } = this.#site;
     const [least, most] = wrong === "late" ? LATE_EVENT_EVERY : EVENT_EVERY;
-    const later = (event: PassEvent): Step => ({ after: chance.between(least, most), event });
+    const later = (event: PassageEvent): Step => ({ after: chance.between(least, most), event });
     const broken = later({ kind: "broken", reason: "connection reset" });
     if (wrong === "reset unread") return [broken];
     if (wrong === "refused")
       return [later({ kind: "refused", status: 503, retryAfter: 0.1, otherRunner: false })];
     /** The answer to another call lacks the stamp that belongs to this one. */
     const of = wrong === "swapped" ? this.#lastId : work.request.id;
-    const head: PassEvent = {
+    const head: PassageEvent = {
       kind: "head",
       status: 200,
       headers: [],
@@ -141,7 +141,7 @@
     world.after(step.after + frozenFor, () => {
       if (link.abandoned && !stubborn) return;
       const reset = this.#gone.has(run.address);
-      const event: PassEvent = reset ? { kind: "broken", reason: "runner gone" } : step.event;
+      const event: PassageEvent = reset ? { kind: "broken", reason: "runner gone" } : step.event;
       access.mine(() => {
         if (access.life === link.life)
           access.perform(access.core.passEvent(run.go, event, this.#site.now));
@@ -158,8 +158,8 @@
 }
 
 /** What the link tells of an answer: whole events where the work is a stream of them, else bytes. */
-function answerOf(id: string, work: PassWork): PassEvent[] {
-  const events: PassEvent[] = [];
+function answerOf(id: string, work: PassageWork): PassageEvent[] {
+  const events: PassageEvent[] = [];
   for (let number = (work.resumeAfter ?? 0) + 1; number <= eventCount(id); number += 1) {
     const data = eventData(id, number);
     const bytes = new TextEncoder().encode(data);
