--- a/features/steps/acknowledgements.ts
+++ b/features/steps/acknowledgements.ts
@@ -4,7 +4,7 @@
 import { Writable } from "node:stream";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { constants } from "@chutewick/parts";
-import { encodeFrame, FrameBatch, FrameReader, log, settled, Wire } from "@chutewick/shell";
+import { encodeFrame, FrameBatch, FrameReader, log, waitUntil, Wire } from "@chutewick/shell";
 
 const SEND_INTERVAL_MS = 50;
 const INCARNATION = "incarnation-of-the-peer";
@@ -83,7 +83,7 @@
     wire.send(PEER_ADDRESS, { text: "from the wire" });
   };
   world.timers.push(setInterval(send, SEND_INTERVAL_MS));
-  const tick = (): void => wire.beat(performance.now());
+  const tick = (): void => wire.tick(performance.now());
   world.timers.push(setInterval(tick, constants.tickIntervalMs));
 }
 Given(
@@ -99,7 +99,7 @@
 
 async function forSeconds(seconds: number): Promise<void> {
   const end = performance.now() + seconds * 1_000;
-  await settled(() => performance.now() >= end);
+  await waitUntil(() => performance.now() >= end);
 }
 When("they have done so for {int} s", { timeout: 10_000 }, forSeconds);
 
--- a/features/steps/calls-callers.ts
+++ b/features/steps/calls-callers.ts
@@ -1,6 +1,6 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { settled } from "@chutewick/shell";
+import { waitUntil } from "@chutewick/shell";
 import { answersIn, areHeld, openRaw, passes, release, requestOf } from "./calls-raw.js";
 import { configure, runsOf, type World } from "./calls-world.js";
 
@@ -44,7 +44,7 @@
   function closed(): boolean {
     return world.raw.closed;
   }
-  await settled(closed);
+  await waitUntil(closed);
 }
 
 async function readsOne(this: World): Promise<void> {
@@ -127,7 +127,7 @@
   function came(): boolean {
     return raw.text.includes("\r\n\r\n") || raw.closed;
   }
-  await settled(came);
+  await waitUntil(came);
   equal(Number(/^HTTP\/1\.1 (\d{3})/.exec(raw.text)?.[1]), status, raw.text);
 }
 Then("the caller reads {int} first", readsFirst);
@@ -147,7 +147,7 @@
     for (const { resets } of runners) count += resets;
     return count === 2;
   }
-  await settled(reset);
+  await waitUntil(reset);
 }
 Then("both runners' connections are reset", runnersReset);
 
@@ -170,7 +170,7 @@
     function ready(): boolean {
       return isReset ? runsOf(world).has(id) : raw.text.includes(`${id} /`) || raw.closed;
     }
-    await settled(ready);
+    await waitUntil(ready);
     if (!isReset) {
       ok(!held.closed, "the node closed a connection in use");
       const [told] = answersIn(raw.text);
--- a/features/steps/calls-limits.ts
+++ b/features/steps/calls-limits.ts
@@ -1,7 +1,7 @@
 import { equal, ok } from "node:assert/strict";
 import { connect } from "node:net";
 import { Given, Then, When } from "@cucumber/cucumber";
-import { settled } from "@chutewick/shell";
+import { waitUntil } from "@chutewick/shell";
 import { answersIn, areHeld, openRaw, passes, release, requestOf } from "./calls-raw.js";
 import { configure, type World } from "./calls-world.js";
 
@@ -14,7 +14,7 @@
   function came(): boolean {
     return raw.closed || raw.text.includes(`call-${world.calls} /`);
   }
-  await settled(came);
+  await waitUntil(came);
   ok(!raw.closed, "the connection was closed");
   return answersIn(raw.text)[0]!;
 }
@@ -98,7 +98,7 @@
   function came(): boolean {
     return raw.text.includes("call-1 /");
   }
-  await settled(came);
+  await waitUntil(came);
 }
 When(
   "a call begins, the configuration sets a rest of {int} ms, and the call is answered",
--- a/features/steps/calls-node.ts
+++ b/features/steps/calls-node.ts
@@ -1,4 +1,4 @@
-import { configuration, type MarkedConfiguration } from "@chutewick/control";
+import { configuration, type VersionedConfiguration } from "@chutewick/control";
 import {
   RunnerBalancer,
   PassCallers,
@@ -13,18 +13,18 @@
   type PassageEvent,
   type PassageRequest,
   type PassageOutput,
-  type Standing,
+  type NodeIdentity,
 } from "@chutewick/data";
 import { callerLimits, policy, type RunnerRegistry, type RunnerDescriptor } from "@chutewick/parts";
-import { PlatformAccess, PlatformDialect } from "@chutewick/platform";
-import { monotonic, type Log } from "@chutewick/shell";
+import { PlatformAccessAdapter, PlatformRunnerProtocol } from "@chutewick/platform";
+import { monotonicNow, type Log } from "@chutewick/shell";
 
 /** ms */
 const beatEvery = 50;
 
 /** Stands in for what an access node knows of its fleet. */
 class KnownFleet implements FleetView {
-  configuration: MarkedConfiguration = configuration.blank;
+  configuration: VersionedConfiguration = configuration.blank;
   readonly cards: RunnerDescriptor[] = [];
   readonly registry: RunnerRegistry = { nodes: [], runners: [] };
 
@@ -42,7 +42,7 @@
   }
 }
 
-const standing: Standing = {
+const standing: NodeIdentity = {
   identity: "node-1",
   address: "here:1",
   kind: "access",
@@ -66,7 +66,7 @@
   /** Calls on lots that came here. */
   readonly lotCalls: LotCall[] = [];
   #links: PassConnections;
-  #front: PlatformAccess;
+  #front: PlatformAccessAdapter;
   #callers = new PassCallers();
   #tickets = 0;
   #beat: NodeJS.Timeout | undefined;
@@ -77,30 +77,30 @@
     const choice = new RunnerBalancer(this.known, standing);
     this.relay = new RelayCore(this.known, choice, policy.defaults);
     function mayStart(go: number): string | undefined {
-      return self.relay.mayStart(go, monotonic());
+      return self.relay.mayStart(go, monotonicNow());
     }
     function told(go: number, event: PassageEvent): void {
-      self.#perform(self.relay.goEvent(go, event, monotonic()));
+      self.#perform(self.relay.goEvent(go, event, monotonicNow()));
     }
     function share(): number {
       return 20;
     }
     this.#links = new PassConnections({
-      dialect: new PlatformDialect(),
+      dialect: new PlatformRunnerProtocol(),
       mayStart,
       told,
       share,
-      now: monotonic,
+      now: monotonicNow,
     });
-    this.#front = new PlatformAccess({ access: `127.0.0.1:${port}` }, silent);
+    this.#front = new PlatformAccessAdapter({ access: `127.0.0.1:${port}` }, silent);
   }
 
   async open(): Promise<void> {
     await this.#front.open(this.#desk());
     const self = this;
     function strike(): void {
-      self.#perform(self.relay.beat(monotonic()));
-      self.#links.beat(monotonic());
+      self.#perform(self.relay.beat(monotonicNow()));
+      self.#links.beat(monotonicNow());
     }
     this.#beat = setInterval(strike, beatEvery);
   }
@@ -117,11 +117,11 @@
       self.#tickets += 1;
       const ticket = `t-${self.#tickets}`;
       self.#callers.add(ticket, caller);
-      self.#perform(self.relay.arrive(ticket, request, monotonic()));
+      self.#perform(self.relay.arrive(ticket, request, monotonicNow()));
       return ticket;
     }
     function left(ticket: string): void {
-      if (self.#callers.remove(ticket)) self.#perform(self.relay.left(ticket, monotonic()));
+      if (self.#callers.remove(ticket)) self.#perform(self.relay.left(ticket, monotonicNow()));
     }
     return {
       isReady: () => true,
--- a/features/steps/calls-raw.ts
+++ b/features/steps/calls-raw.ts
@@ -1,6 +1,6 @@
 import { ok } from "node:assert/strict";
 import { connect } from "node:net";
-import { monotonic, settled } from "@chutewick/shell";
+import { monotonicNow, waitUntil } from "@chutewick/shell";
 import { host, type RawCaller, type World } from "./calls-world.js";
 
 /** Callers on raw sockets, for bytes that no HTTP client would send. */
@@ -24,7 +24,7 @@
   function connected(): boolean {
     return !socket.connecting;
   }
-  await settled(connected);
+  await waitUntil(connected);
   return raw;
 }
 
@@ -74,15 +74,15 @@
   function holds(): boolean {
     return heldOf(world) === count;
   }
-  await settled(holds);
+  await waitUntil(holds);
 }
 
 export async function passes(span: number): Promise<void> {
-  const from = monotonic();
+  const from = monotonicNow();
   function passed(): boolean {
-    return monotonic() - from >= span;
+    return monotonicNow() - from >= span;
   }
-  await settled(passed);
+  await waitUntil(passed);
 }
 
 export function release(world: World): void {
--- a/features/steps/catch-up.ts
+++ b/features/steps/catch-up.ts
@@ -1,6 +1,6 @@
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then } from "@cucumber/cucumber";
-import { published, type MarkedConfiguration } from "@chutewick/control";
+import { published, type VersionedConfiguration } from "@chutewick/control";
 import { Feed, Follower, type Change } from "@chutewick/parts";
 import { Packr } from "msgpackr";
 import { routedConfiguration } from "./routed-configuration.js";
@@ -55,9 +55,9 @@
   const { copy, bytes } = encodeAndDecode(feed.messageAfter(follower.place)!);
   ok(follower.receive(copy));
   equal(follower.place, feed.place);
-  const record = follower.read<MarkedConfiguration>("configuration")!;
+  const record = follower.read<VersionedConfiguration>("configuration")!;
   equal(record.mark, changeCount + 1);
-  deepEqual(record.value, feed.read<MarkedConfiguration>("configuration")!.value);
+  deepEqual(record.value, feed.read<VersionedConfiguration>("configuration")!.value);
   equal(record.origin, undefined);
   equal(follower.read(removedKey), undefined);
   return bytes;
--- a/features/steps/closing-server.ts
+++ b/features/steps/closing-server.ts
@@ -5,7 +5,7 @@
 import { connect, type Socket } from "node:net";
 import { setTimeout as pause } from "node:timers/promises";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { Gateway, invariants, log, settled, type WholeArrival } from "@chutewick/shell";
+import { Gateway, invariants, log, waitUntil, type RawRequest } from "@chutewick/shell";
 
 interface World {
   server: AnsweringServer;
@@ -25,14 +25,14 @@
   #closing: Promise<void> | undefined;
 
   constructor(delayMs: number) {
-    const arrived = ({ path, reply }: WholeArrival): void => {
+    const arrived = ({ path, reply }: RawRequest): void => {
       this.passedOn.push(path);
       this.#answers.add(setTimeout(() => answer(reply, path), delayMs));
     };
     this.gateway = new Gateway({
       address: `${ADDRESS.host}:${ADDRESS.port}`,
       log: log.open("test", "test", "fatal"),
-      openings: [],
+      routes: [],
       whole: "request.arrived",
       owners: [{ name: "answers", events: { "request.arrived": arrived } }],
     });
@@ -100,7 +100,7 @@
   const [{ socket }] = this.connections as [RecordedConnection];
   socket.write(`GET /first ${HEAD}\r\nGET /second ${HEAD}\r\n`);
   await pause(after);
-  this.server.gateway.leave();
+  this.server.gateway.beginStop();
 }
 When(
   "two requests come at once on it, and the server begins to end its connections {int} ms later",
@@ -204,16 +204,17 @@
   const [{ socket }] = this.connections as [RecordedConnection];
   socket.write(`GET /first ${HEAD}\r\nGET /second ${HEAD}\r\n`);
   await pause(READ_WITHIN_MS);
-  equal(this.server.gateway.underWay, 2);
+  equal(this.server.gateway.unfinishedResponses, 2);
   socket.destroy();
 }
 When("two requests come at once on it, and the caller leaves", twoAndDisconnect);
 
 async function noneInProgress(this: World, seconds: number): Promise<void> {
   const until = performance.now() + seconds * 1_000;
-  const isOver = (): boolean => this.server.gateway.underWay === 0 || performance.now() >= until;
-  await settled(isOver);
-  equal(this.server.gateway.underWay, 0);
+  const isOver = (): boolean =>
+    this.server.gateway.unfinishedResponses === 0 || performance.now() >= until;
+  await waitUntil(isOver);
+  equal(this.server.gateway.unfinishedResponses, 0);
 }
 Then("the server has no request in progress within {int} s", noneInProgress);
 
--- a/features/steps/connections.ts
+++ b/features/steps/connections.ts
@@ -4,7 +4,7 @@
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import { Relay } from "@chutewick/fleet";
 import { constants } from "@chutewick/parts";
-import { ConnectionProgress, Wire, invariants, log, settled } from "@chutewick/shell";
+import { ConnectionProgress, Wire, invariants, log, waitUntil } from "@chutewick/shell";
 import { Packr } from "msgpackr";
 
 const SEND_INTERVAL_MS = 50;
@@ -76,7 +76,7 @@
     end.wire.send(end.to, { number: end.sent });
   }
   function tick(): void {
-    end.wire.beat(performance.now());
+    end.wire.tick(performance.now());
   }
   every(world, SEND_INTERVAL_MS, send);
   every(world, constants.tickIntervalMs, tick);
@@ -93,7 +93,7 @@
   function bothReceive(): boolean {
     return ends.every(hasReceived);
   }
-  await settled(bothReceive);
+  await waitUntil(bothReceive);
 }
 Given(
   "two processes with a link between them, that send each other a message each 50 ms",
@@ -116,7 +116,7 @@
   function isOver(): boolean {
     return performance.now() >= end;
   }
-  await settled(isOver);
+  await waitUntil(isOver);
 }
 
 async function arrivesWithin(this: World, seconds: number): Promise<void> {
@@ -129,7 +129,7 @@
   function isOver(): boolean {
     return bothArrived() || performance.now() - begin > seconds * 1_000;
   }
-  await settled(isOver);
+  await waitUntil(isOver);
   ok(bothArrived(), `nothing sent after the cut arrived both ways within ${seconds} s`);
 }
 Then(
@@ -171,20 +171,20 @@
   for (let second = 1; second <= seconds; second += 1) {
     elapse(this, 1_000);
     this.progress.acknowledged((received += 1));
-    equal(this.progress.hasExpired, false);
+    equal(this.progress.hasStalled, false);
   }
 }
 When("one byte of them is acknowledged each second for {int} s", slowLink);
 
 function hasNotExpired(this: World, seconds: number): void {
   elapse(this, seconds * 1_000);
-  equal(this.progress.hasExpired, false);
+  equal(this.progress.hasStalled, false);
 }
 Then("it has not expired {float} s later", hasNotExpired);
 
 function hasExpired(this: World, seconds: number): void {
   elapse(this, seconds * 1_000);
-  equal(this.progress.hasExpired, true);
+  equal(this.progress.hasStalled, true);
 }
 Then("it has expired {float} s after that", hasExpired);
 
@@ -193,7 +193,7 @@
   let now = performance.now();
   const before = end.wire.connections.stalled;
   // As after a pause of the process: the clock has advanced, and nothing was read meanwhile.
-  for (let tick = 0; tick < 5; tick += 1) end.wire.beat((now += seconds * 1_000));
+  for (let tick = 0; tick < 5; tick += 1) end.wire.tick((now += seconds * 1_000));
   await waitFor(SEND_INTERVAL_MS);
   equal(end.wire.connections.stalled, before);
 }
--- a/features/steps/disk-process.ts
+++ b/features/steps/disk-process.ts
@@ -54,7 +54,7 @@
   const disk = opened.value;
   print("opened");
   function tick(): void {
-    disk.beat(performance.now());
+    disk.tick(performance.now());
   }
   setInterval(tick, tickIntervalMs);
   function execute(line: string): void {
--- a/features/steps/duty-calls.ts
+++ b/features/steps/duty-calls.ts
@@ -8,7 +8,7 @@
 import { After, Given, Then, When, type DataTable } from "@cucumber/cucumber";
 import type { ActBody, DutyCall, DutyKind, DutyOutcome } from "@chutewick/control";
 import { PlatformDuties, platformSettings } from "@chutewick/platform";
-import { monotonic } from "@chutewick/shell";
+import { monotonicNow } from "@chutewick/shell";
 import { listening } from "./calls-runner.js";
 
 /** A request as received by the fake platform. */
@@ -108,17 +108,17 @@
 }
 
 async function aReport(this: World, fence: number): Promise<void> {
-  await makeCall(this, { duty: "usage", body: report, fence, sendBy: monotonic() + 1_000 });
+  await makeCall(this, { duty: "usage", body: report, fence, sendBy: monotonicNow() + 1_000 });
 }
 When("a usage report with fence {int} is made", aReport);
 
 async function anOrder(this: World, _desired: number, fence: number): Promise<void> {
-  await makeCall(this, { duty: "scaling", body: order, fence, sendBy: monotonic() + 1_000 });
+  await makeCall(this, { duty: "scaling", body: order, fence, sendBy: monotonicNow() + 1_000 });
 }
 When("an order of {int} runners with fence {int} is made", anOrder);
 
 async function anExpiredReport(this: World): Promise<void> {
-  await makeCall(this, { duty: "usage", body: report, fence: 1, sendBy: monotonic() - 1 });
+  await makeCall(this, { duty: "usage", body: report, fence: 1, sendBy: monotonicNow() - 1 });
 }
 When("a usage report whose round has expired is made", anExpiredReport);
 
--- a/features/steps/feed-progress.ts
+++ b/features/steps/feed-progress.ts
@@ -13,7 +13,7 @@
 
 function receiveHeartbeat(world: World, feedIndex: number): void {
   world.now += constants.heartbeatIntervalMs;
-  world.progress.heard(feedIndex, world.ownIndex, world.now);
+  world.progress.recordHeartbeat(feedIndex, world.ownIndex, world.now);
 }
 
 function receiveHeartbeatsFor(world: World, feedIndex: number, seconds: number): void {
--- a/features/steps/lease-holders.ts
+++ b/features/steps/lease-holders.ts
@@ -204,7 +204,7 @@
   this.log = new MembershipLog(this.membership);
   this.now = ago;
   this.membership.receive({ kind: "feed-digest", place, records: [] }, "control-1", this.now);
-  this.membership.tell(this.now);
+  this.membership.sendHeartbeats(this.now);
 }
 Given("a node that started {int} ms ago and has the feed up to place {int}", started);
 
@@ -231,7 +231,7 @@
 function controlIsAway(this: World, lasts: string, promisers: string): void {
   this.now += numberOf(lasts);
   const asks = this.membership
-    .beat(this.now)
+    .tick(this.now)
     .filter(({ message }) => message.kind === "fellow-ask");
   equal(asks.length, 6);
   promise(this, promisers);
@@ -241,7 +241,7 @@
 /** They answer what it has just asked, and know no more than it does. */
 function promise({ membership, now }: World, promisers: string): void {
   for (const from of promisers.split(", "))
-    membership.peer(
+    membership.receiveFromPeer(
       { kind: "fellow-tell", askedAt: now, place: 3, promises: true, runners: [], closed: [] },
       from,
       now,
@@ -295,7 +295,7 @@
   const since = this.now;
   while (this.now < since + numberOf(lasts)) {
     this.now += constants.heartbeatIntervalMs;
-    this.membership.tell(this.now);
+    this.membership.sendHeartbeats(this.now);
   }
   for (
     let askedAt = since;
@@ -310,19 +310,19 @@
 );
 
 function near(this: World): void {
-  equal(this.membership.isNear(this.now), true);
+  equal(this.membership.hasQuorumContact(this.now), true);
 }
 Then("control counts as near", near);
 
 function away(this: World): void {
-  equal(this.membership.isNear(this.now), false);
+  equal(this.membership.hasQuorumContact(this.now), false);
 }
 Then("control counts as away", away);
 
 // What a node logs
 
 function logsStanding(this: World, text: string): void {
-  const logged = this.log.changed(this.now);
+  const logged = this.log.reportIfChanged(this.now);
   ok(logged !== undefined);
   const { version, place, ground, granters } = logged;
   const by = granters.length === 0 ? ground : `${ground} of ${granters.join(" ")}`;
@@ -332,14 +332,14 @@
 
 function logsNothing(this: World): void {
   for (let beat = 1; beat <= 5; beat += 1)
-    equal(this.log.changed(this.now + beat * constants.tickIntervalMs), undefined);
+    equal(this.log.reportIfChanged(this.now + beat * constants.tickIntervalMs), undefined);
 }
 Then("it logs nothing more while nothing changes", logsNothing);
 
 function refusalsLogged(this: World, refusals: number, status: number, logged: number): void {
   let lines = 0;
   for (let refusal = 0; refusal < refusals; refusal += 1)
-    if (this.log.refused(status, this.now + refusal) !== undefined) lines += 1;
+    if (this.log.reportIfRejected(status, this.now + refusal) !== undefined) lines += 1;
   equal(lines, logged);
 }
 Then("of {int} callers refused with {int} within a second it logs {int}", refusalsLogged);
--- a/features/steps/leases.ts
+++ b/features/steps/leases.ts
@@ -64,7 +64,7 @@
     deepEqual(told.kind === "confirmed" && told.value, { kind: "IN_FORCE", mark: version });
     this.version = version;
     if (node.core.membership.holds(node.now) && deployment.mark(node) < version)
-      this.stale.push(`cut ${moment}: ${node.core.membership.leaseLeft(node.now)} ms left`);
+      this.stale.push(`cut ${moment}: ${node.core.membership.remainingLeaseMs(node.now)} ms left`);
     world.mend();
   }
 }
--- a/features/steps/order-records.ts
+++ b/features/steps/order-records.ts
@@ -6,7 +6,7 @@
   ControlStateMachine,
   keys,
   type ControlCommand,
-  type ControlDesk,
+  type ControlApi,
   type ControlOutcome,
   type ControlResult,
   type DrainRecord,
@@ -14,7 +14,7 @@
   type AcceptedOrdersRecord,
 } from "@chutewick/control";
 import { Ledger } from "@chutewick/parts";
-import { PlatformControl } from "@chutewick/platform";
+import { PlatformControlAdapter } from "@chutewick/platform";
 import { configurationOf } from "@chutewick/simulator";
 import { log } from "@chutewick/shell";
 import { request } from "undici";
@@ -26,7 +26,7 @@
   others: number;
   /** Ledger time in ms. */
   time: number;
-  front: PlatformControl | undefined;
+  front: PlatformControlAdapter | undefined;
   inContact: boolean;
   sight: ObservedStorage;
 }
@@ -147,8 +147,11 @@
     const value = self.records.apply(self.ledger, withObservedMachines(self, command), self.time);
     callback({ kind: "confirmed", value, place: 1 });
   }
-  const desk: ControlDesk = { isReady, announce, inquire };
-  this.front = new PlatformControl({ control: address }, log.open("orders", "test", "fatal"));
+  const desk: ControlApi = { isReady, announce, inquire };
+  this.front = new PlatformControlAdapter(
+    { control: address },
+    log.open("orders", "test", "fatal"),
+  );
   await this.front.open(desk);
 }
 Given("the platform's interface on a control machine's records", openAdapter);
--- a/features/steps/pending-calls.ts
+++ b/features/steps/pending-calls.ts
@@ -88,7 +88,7 @@
   world.calls = world.requests;
   note(
     world,
-    world.requests.ask({ kind: "read" }, () => [], world.now),
+    world.requests.request({ kind: "read" }, () => [], world.now),
   );
   deepEqual(world.receivers, [head]);
 }
@@ -103,6 +103,6 @@
 Then("within {float} s the request is sent to {string}", requestSentTo);
 
 function notRun(this: World, _head: string): void {
-  note(this, this.requests.ended(TICKET, { kind: "not-run", reason: "no head" }, this.now));
+  note(this, this.requests.handleOutcome(TICKET, { kind: "not-run", reason: "no head" }, this.now));
 }
 When("{string} answers that it does not run it", notRun);
--- a/features/steps/platform-fleet.ts
+++ b/features/steps/platform-fleet.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { After, Given, Then, When } from "@cucumber/cucumber";
-import { settled } from "@chutewick/shell";
+import { waitUntil } from "@chutewick/shell";
 import { request } from "undici";
 import { firstDocument as document } from "../system/document.js";
 import { startMachine, type Machine, type MachineClass } from "../system/machine.js";
@@ -50,7 +50,7 @@
     }
     return done;
   }
-  await settled(look);
+  await waitUntil(look);
 }
 
 function start(system: System, kind: MachineClass, index: number): void {
@@ -418,7 +418,7 @@
   function passed(): boolean {
     return performance.now() - from >= span;
   }
-  await settled(passed);
+  await waitUntil(passed);
 }
 
 /** The runners lose their connections while the machine is frozen: it wakes to a silence, a reset and unread bytes at once. */
--- a/features/steps/platform.ts
+++ b/features/steps/platform.ts
@@ -13,21 +13,21 @@
 import type { PassageRequest } from "@chutewick/data";
 import { Ledger, callerLimits } from "@chutewick/parts";
 import {
-  PlatformDialect,
-  dialect,
+  PlatformRunnerProtocol,
+  headerParsers,
   documents,
   platformSettings,
   type PlatformSettings,
-  type Translated,
+  type ConfigurationOrder,
 } from "@chutewick/platform";
 
 interface World {
   document: Record<string, unknown>;
   text: string;
   modification: string;
-  first: Translated;
+  first: ConfigurationOrder;
   /** The last translated order; undefined if it was rejected. */
-  told: Translated | undefined;
+  told: ConfigurationOrder | undefined;
   /** The parsed request. */
   inquiry: PassageRequest;
   forwarded: string[];
@@ -137,7 +137,7 @@
   modified,
 );
 
-function checked(order: Translated | undefined): Configuration {
+function checked(order: ConfigurationOrder | undefined): Configuration {
   ok(order !== undefined, "the adapter accepts it");
   const outcome = configuration.check(order.value);
   if (!outcome.ok) throw new Error(outcome.reason);
@@ -191,7 +191,7 @@
 function areRecognized(this: World): void {
   const records = new ControlStateMachine();
   const ledger = new Ledger();
-  function sent(order: Translated, expected: number): ControlResult {
+  function sent(order: ConfigurationOrder, expected: number): ControlResult {
     const { mark, value, origin, key } = order;
     return records.apply(ledger, { kind: "put", expected, mark, value, origin, word: key }, 1);
   }
@@ -269,8 +269,14 @@
   };
   const rawHeaders: string[] = [];
   for (const [name, value] of Object.entries(headers)) rawHeaders.push(name, value);
-  this.inquiry = dialect.inquiry("POST", "/notes/2f?x=1", rawHeaders, headers, Buffer.from("abc"))!;
-  this.forwarded = new PlatformDialect().headers(
+  this.inquiry = headerParsers.inquiry(
+    "POST",
+    "/notes/2f?x=1",
+    rawHeaders,
+    headers,
+    Buffer.from("abc"),
+  )!;
+  this.forwarded = new PlatformRunnerProtocol().headers(
     {
       request: this.inquiry,
       runner: "r-1",
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -1,14 +1,14 @@
 /** Steps on live requests on passages and the choice of a runner, in virtual time (docs/design.md §13.4, §13.5). */
 import { deepEqual, equal, ok } from "node:assert/strict";
 import { Given, Then, When, type DataTable } from "@cucumber/cucumber";
-import { configuration, type MarkedConfiguration, type Passage } from "@chutewick/control";
+import { configuration, type VersionedConfiguration, type Passage } from "@chutewick/control";
 import {
   RunnerBalancer,
   RelayCore,
   type PassageEvent,
   type PassageOutput,
   type PassageWork,
-  type Standing,
+  type NodeIdentity,
 } from "@chutewick/data";
 import {
   Sessions,
@@ -21,7 +21,7 @@
 
 /** Stands in for what a node knows of its fleet. */
 class KnownFleet {
-  configuration: MarkedConfiguration = configuration.blank;
+  configuration: VersionedConfiguration = configuration.blank;
   cards: RunnerDescriptor[] = [];
   closed = new Set<string>();
   may = true;
@@ -69,7 +69,7 @@
   signs: { address: string; late: number; usual: number };
 }
 
-const standing: Standing = {
+const standing: NodeIdentity = {
   identity: "node-1",
   address: "here:1",
   kind: "access",
--- a/features/steps/resting.ts
+++ b/features/steps/resting.ts
@@ -5,14 +5,14 @@
 import { LeaseCoverage, PeerHeartbeats } from "@chutewick/control";
 import { heartbeatInterval } from "@chutewick/data";
 import { constants } from "@chutewick/parts";
-import { Beat } from "@chutewick/shell";
+import { Ticker } from "@chutewick/shell";
 
 interface World {
   coverage: LeaseCoverage;
   /** ms. */
   now: number;
   isIdle: boolean;
-  beat: Beat | undefined;
+  beat: Ticker | undefined;
   /** Beats so far. */
   beats: number;
 }
@@ -75,7 +75,7 @@
   const world = this;
   world.isIdle = true;
   world.beats = 0;
-  const beat = new Beat({ isIdle: () => world.isIdle });
+  const beat = new Ticker({ isIdle: () => world.isIdle });
   function strike(): void {
     world.beats += 1;
   }
@@ -101,7 +101,7 @@
   while (this.beats === before) mock.timers.tick(1);
   pass(after);
   this.isIdle = false;
-  this.beat!.hasten();
+  this.beat!.wake();
 }
 When("something begins in it {int} ms after a beat", begins);
 
--- a/features/steps/runner-links.ts
+++ b/features/steps/runner-links.ts
@@ -9,7 +9,7 @@
   type PassageRequest,
   type PassageWork,
 } from "@chutewick/data";
-import { monotonic, settled } from "@chutewick/shell";
+import { monotonicNow, waitUntil } from "@chutewick/shell";
 import { requestOf } from "./relay-requests.js";
 import { scripts, type World } from "./runner-scripts.js";
 
@@ -145,12 +145,12 @@
   function accepted(): boolean {
     return world.sockets.length === 1;
   }
-  await settled(accepted);
-  const from = monotonic();
+  await waitUntil(accepted);
+  const from = monotonicNow();
   function written(): boolean {
-    return monotonic() - from > 100;
+    return monotonicNow() - from > 100;
   }
-  await settled(written);
+  await waitUntil(written);
   world.links.abandon(go);
 }
 When("a work with a body of {int} bytes hangs in the socket and is given up", hangs);
@@ -172,7 +172,7 @@
   socket!.on("data", came);
   socket!.once("close", over);
   socket!.resume();
-  await settled(isEnded);
+  await waitUntil(isEnded);
 }
 When("the runner reads all that comes", readsAll);
 
@@ -218,7 +218,7 @@
   function holds(): boolean {
     return isOver(world, go);
   }
-  return settled(holds);
+  return waitUntil(holds);
 }
 
 async function oneRuns(this: World): Promise<void> {
@@ -285,7 +285,7 @@
   function holds(): boolean {
     return world.sockets[0]?.destroyed === true;
   }
-  await settled(holds);
+  await waitUntil(holds);
 }
 Then("the runner's connection is ended", isEnded);
 
@@ -315,7 +315,7 @@
   function came(): boolean {
     return world.events.get(go)!.length > 2;
   }
-  await settled(came);
+  await waitUntil(came);
   this.links.pause(go);
 }
 When("a work runs as a series of events and its reader pauses", pausedReader);
@@ -329,7 +329,7 @@
     before = world.held;
     return calm >= 4;
   }
-  await settled(holds);
+  await waitUntil(holds);
   this.works = this.events.get(1)!.length;
 }
 Then("the runner is held up", heldUp);
@@ -344,7 +344,7 @@
   function holds(): boolean {
     return world.events.get(1)!.length > world.works + 10;
   }
-  await settled(holds);
+  await waitUntil(holds);
 }
 Then("more events come", moreCome);
 
@@ -353,7 +353,7 @@
   function holds(): boolean {
     return world.inquiries === 1;
   }
-  await settled(holds);
+  await waitUntil(holds);
   this.links.abandon(1);
 }
 When("it is given up", givenUp);
--- a/features/steps/silent-nodes.ts
+++ b/features/steps/silent-nodes.ts
@@ -170,7 +170,7 @@
   const { deployment } = this;
   deployment.after(seconds);
   for (const node of deployment.accesses) {
-    equal(node.core.membership.isNear(deployment.world.now), false, node.name);
+    equal(node.core.membership.hasQuorumContact(deployment.world.now), false, node.name);
     equal(node.core.membership.holds(deployment.world.now), true, node.name);
   }
 }
--- a/features/steps/tenants-lots.ts
+++ b/features/steps/tenants-lots.ts
@@ -130,7 +130,7 @@
   const call: LotCall = { lot: "l", host: "hub.example", credential: undefined };
   const handedIn = { ...call, path: "/slips/x", entries: [] };
   this.outputs = [
-    ...lots.handIn("t-1", handedIn, world.now),
+    ...lots.submit("t-1", handedIn, world.now),
     ...lots.read("t-2", call, { from: 0, hold: 0 }, world.now),
     ...lots.item("t-3", call, "i", world.now),
     ...lots.end("t-4", call, world.now),
--- a/features/steps/usage-fleet.ts
+++ b/features/steps/usage-fleet.ts
@@ -42,7 +42,7 @@
     for (const { core } of deployment.accesses) {
       const window = core.usage.counter.windowAt(deployment.world.now);
       ok(window !== undefined);
-      core.usage.counter.began(tenant, window);
+      core.usage.counter.recordStart(tenant, window);
       this.windows.add(window);
     }
   }
--- a/features/steps/usage.ts
+++ b/features/steps/usage.ts
@@ -152,7 +152,7 @@
 }
 
 function toNode(world: World, { usage }: Node, from: string, message: Message): void {
-  if (message.kind === "lease") usage.heardLease(from, message, world.now);
+  if (message.kind === "lease") usage.recordLease(from, message, world.now);
   if (message.kind === "usage-taken") usage.taken(from, message);
 }
 
@@ -166,9 +166,9 @@
     world.nodes.every((node) => node.life !== life || node.isDead);
   const outputs =
     message.kind === "usage"
-      ? usage.take(message, from, world.now)
+      ? usage.recordUsage(message, from, world.now)
       : message.kind === "roll"
-        ? usage.heardPeer(from, message, isOver, world.now)
+        ? usage.recordPeerClock(from, message, isOver, world.now)
         : [];
   for (const output of outputs)
     if (output.kind === "send") send(world, address, output.to, output.message as Message);
@@ -200,12 +200,12 @@
 function beat(world: World, areHeartbeatsSent: boolean): void {
   const wall = STARTED_AT_MS + world.now;
   for (const { usage, wallStep } of world.controls) {
-    usage.beat(world.now, wall + wallStep);
+    usage.tick(world.now, wall + wallStep);
     usage.ledger.forget(world.now);
   }
   for (const node of world.nodes) {
     if (node.isDead) continue;
-    for (const { to, message } of node.usage.beat(
+    for (const { to, message } of node.usage.tick(
       world.now,
       wall + node.wallStep,
       areHeartbeatsSent,
@@ -225,7 +225,7 @@
 function start(world: World, node: Node, tenant: string): void {
   const window = node.usage.counter.windowAt(world.now);
   ok(window !== undefined);
-  node.usage.counter.began(tenant, window);
+  node.usage.counter.recordStart(tenant, window);
   const truly = Math.floor((STARTED_AT_MS + world.now) / WINDOW_MS);
   node.starts.push({ at: world.now, window: truly, tenant });
 }
--- a/features/steps/write-queue.ts
+++ b/features/steps/write-queue.ts
@@ -117,15 +117,15 @@
   const start = performance.now();
   const durationMs = Number(milliseconds.replace(",", ""));
   for (let passed = 0; passed <= durationMs; passed += Number(interval))
-    this.queue.beat(start + passed);
+    this.queue.tick(start + passed);
 }
 When(/^a write is added and ([\d,]+) ms pass in beats of (\d+) ms$/, passInTicks);
 
 function passInOneTick(this: World, milliseconds: string): void {
   void add(this, 1);
   const start = performance.now();
-  this.queue.beat(start);
-  this.queue.beat(start + Number(milliseconds.replace(",", "")));
+  this.queue.tick(start);
+  this.queue.tick(start + Number(milliseconds.replace(",", "")));
 }
 When(/^a write is added and ([\d,]+) ms pass in one beat$/, passInOneTick);
 
--- a/packages/control/src/configuration.ts
+++ b/packages/control/src/configuration.ts
@@ -106,7 +106,7 @@
 export type Tenant = NonNullable<Configuration["tenants"]>[string];
 
 /** A configuration with its version, as it is stored in control state and sent with the feed. */
-export interface MarkedConfiguration {
+export interface VersionedConfiguration {
   /** Version of the configuration. */
   readonly mark: number;
   readonly value: Configuration;
@@ -115,7 +115,7 @@
 }
 
 /** Fills in the fields that a configuration stored by an earlier release lacks. */
-function read(stored: MarkedConfiguration | undefined): MarkedConfiguration {
+function read(stored: VersionedConfiguration | undefined): VersionedConfiguration {
   if (stored === undefined) return blank;
   const { pools, passages } = stored.value as Partial<Configuration>;
   return pools === undefined || passages === undefined
@@ -124,7 +124,7 @@
 }
 
 /** The configuration before the first one is submitted. */
-export const blank: MarkedConfiguration = {
+export const blank: VersionedConfiguration = {
   mark: 0,
   value: { pools: {}, passages: {}, models: {}, ways: {}, seasons: {} },
 };
--- a/packages/control/src/control-desk.ts
+++ b/packages/control/src/control-desk.ts
@@ -4,7 +4,7 @@
 import type { ControlCommand } from "./machine.js";
 
 /** Operations that an adapter, or the built-in interface, may call on a control machine. */
-export interface ControlDesk {
+export interface ControlApi {
   /** Whether this machine knows the state of the control group well enough to accept requests. */
   isReady(): boolean;
   /** Processes a report of a runner; the sequence number rises with each report. Only accepted reports are acknowledged. */
@@ -14,7 +14,7 @@
 }
 
 /** A further interface for operators and runners, next to the built-in one. */
-export interface ControlFront {
-  open(api: ControlDesk): Promise<void>;
+export interface ControlAdapter {
+  open(api: ControlApi): Promise<void>;
   close(): Promise<void>;
 }
--- a/packages/control/src/control-status.ts
+++ b/packages/control/src/control-status.ts
@@ -8,7 +8,7 @@
   Policy,
   RunnerRegistry,
 } from "@chutewick/parts";
-import type { MarkedConfiguration } from "./configuration.js";
+import type { VersionedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 import type { QueueQuota } from "./machine.js";
 import type { ShareReport } from "./pace.js";
@@ -28,7 +28,7 @@
   readonly registry: RunnerRegistry;
   /** Storage machines with a session. */
   readonly storage: readonly NodeDescriptor[];
-  readonly standings: ReadonlyMap<string, QueueQuota>;
+  readonly queueQuotas: ReadonlyMap<string, QueueQuota>;
   readonly reports: ReadonlyMap<string, ShareReport>;
   readonly policy: Policy;
 }
@@ -40,7 +40,7 @@
   return {
     self: source.self,
     place: feed.place,
-    configuration: feed.read<MarkedConfiguration>(keys.configuration)?.mark ?? 0,
+    configuration: feed.read<VersionedConfiguration>(keys.configuration)?.mark ?? 0,
     view: source.view,
     head: source.isHead,
     quorum: source.hasQuorum,
@@ -61,7 +61,7 @@
   return { ...card, age: Math.round(node.age) };
 }
 
-function quotaStatus({ standings, reports }: StatusSource): Record<string, unknown> {
+function quotaStatus({ queueQuotas: standings, reports }: StatusSource): Record<string, unknown> {
   const status: Record<string, unknown> = {};
   for (const [queue, quota] of standings)
     status[queue] = { ...quota, report: reportStatus(reports.get(queue)) };
--- a/packages/control/src/core.ts
+++ b/packages/control/src/core.ts
@@ -37,11 +37,11 @@
 import { orderedRunners } from "./duties/ordered-runners.js";
 import { scalingFactsOf, type ScalingFacts } from "./scaling/scaling-facts.js";
 import { DutyRecords } from "./duties/duty-records.js";
-import type { DutyGround } from "./duties/duty-service.js";
+import type { DutyContext } from "./duties/duty-service.js";
 import { drain } from "./emptying.js";
-import { explanations, type Asked, type Explained } from "./explain.js";
+import { explanations, type SeasonQuery, type ExplainOutcome } from "./explain.js";
 import { Forwarding, unwritableOutcome, type EndedRequest } from "./forwarding.js";
-import { configuration, type MarkedConfiguration } from "./configuration.js";
+import { configuration, type VersionedConfiguration } from "./configuration.js";
 import { GrantFloor } from "./grant-floor.js";
 import { HeadPlanner } from "./head-planner.js";
 import { HeadRequests, type HeadRequest } from "./head-requests.js";
@@ -227,9 +227,9 @@
         this.#quorumContact.recordHeartbeat(from, message.back, now);
         if (message.decidesDuties === true) this.#dutyDeciders.add(from);
         else this.#dutyDeciders.delete(from);
-        return this.#usage.heardPeer(from, message, this.#isNodeGone(now), now);
+        return this.#usage.recordPeerClock(from, message, this.#isNodeGone(now), now);
       case "usage":
-        return this.#usage.take(message, from, now);
+        return this.#usage.recordUsage(message, from, now);
       case "runners":
         for (const card of message.runners) this.#sessions.recordAnnouncement(card, now - card.age);
         return [];
@@ -256,7 +256,7 @@
   }
 
   /** Input for performing duties at the platform; undefined if this machine is stopping or may not win a duty round. */
-  dutyContext(now: number): DutyGround | undefined {
+  dutyContext(now: number): DutyContext | undefined {
     const view = this.#chain.view;
     if (view === undefined || this.#isStopping || !this.#isMember) return undefined;
     if (!this.hasQuorum(now) || !this.#headDecidesDuties(view)) return undefined;
@@ -264,13 +264,13 @@
       place: this.#chain.position,
       members: view.members.length,
       records: this.#dutyRecords,
-      isConfigured: this.#feed.read<MarkedConfiguration>(keys.configuration) !== undefined,
+      isConfigured: this.#feed.read<VersionedConfiguration>(keys.configuration) !== undefined,
     };
   }
 
   /** Input for deciding the number of runners. */
   scalingFacts(now: number): ScalingFacts {
-    const current = configuration.read(this.#feed.read<MarkedConfiguration>(keys.configuration));
+    const current = configuration.read(this.#feed.read<VersionedConfiguration>(keys.configuration));
     const ordered = orderedRunners(this.#dutyRecords);
     return scalingFactsOf(
       {
@@ -444,7 +444,7 @@
           break;
         case "confirmed":
           this.#feed.append(command.place, command.changes);
-          this.#dutyRecords.take(command.changes);
+          this.#dutyRecords.apply(command.changes);
           hasFeedUpdates = true;
           break;
         case "restored":
@@ -596,7 +596,7 @@
   /** Does all time-driven work. `now` is monotonic and `wall` wall-clock time, both in ms. */
   tick(now: number, wall: number): ControlOutput[] {
     this.#lastWallTime = wall;
-    this.#usage.beat(now, wall);
+    this.#usage.tick(now, wall);
     this.#postponePlanning(now);
     const stuck = this.#chain.slowReplica(now)?.identity;
     return [
@@ -696,18 +696,18 @@
   }
 
   /** Explains the current limits of a way (a route), a model or a lot (a batch job). */
-  explain(asked: Asked, now: number): Explained {
+  explain(asked: SeasonQuery, now: number): ExplainOutcome {
     return explanations.explain(asked, planningContextOf(this.#planningContextSource(now)));
   }
 
   /** Shows what a season (a scheduling period) would select if it were added to the configuration. */
-  preview(season: unknown, now: number): Explained {
+  preview(season: unknown, now: number): ExplainOutcome {
     return explanations.preview(season, planningContextOf(this.#planningContextSource(now)));
   }
 
   /** Status report for operators. */
   status(now: number): Record<string, unknown> {
-    const { standings, reports } = planningContextOf(this.#planningContextSource(now));
+    const { queueQuotas: standings, reports } = planningContextOf(this.#planningContextSource(now));
     return controlStatus({
       self: this.#self,
       view: this.#chain.view,
@@ -717,7 +717,7 @@
       feed: this.#feed,
       registry: this.#sessions.registry(now),
       storage: this.#sessions.live("storage", now),
-      standings,
+      queueQuotas: standings,
       reports,
       policy: this.#policy,
     });
--- a/packages/control/src/duties/duty-outputs.ts
+++ b/packages/control/src/duties/duty-outputs.ts
@@ -4,10 +4,10 @@
 import type { ClaimAct, FinishAct } from "./duty-ledger.js";
 
 /** An output of the performer. */
-export type DutyOutput = DutyInquiry | DutyCallOutput;
+export type DutyOutput = DutyCommandOutput | DutyCallOutput;
 
 /** A command for the control group; its outcome is reported back with the ticket. */
-export interface DutyInquiry {
+export interface DutyCommandOutput {
   readonly kind: "inquire";
   readonly ticket: string;
   readonly command: ClaimAct | FinishAct;
@@ -48,4 +48,4 @@
   | "rejected";
 
 /** The outcome of a command. */
-export type DutyInquiryOutcome = ControlOutcome;
+export type DutyCommandOutcome = ControlOutcome;
--- a/packages/control/src/duties/duty-performer.ts
+++ b/packages/control/src/duties/duty-performer.ts
@@ -2,7 +2,7 @@
 import { constants } from "@chutewick/parts";
 import { keys } from "../keys.js";
 import type { DueAct } from "./duty-acts.js";
-import type { DutyInquiryOutcome, DutyOutcome, DutyOutput } from "./duty-outputs.js";
+import type { DutyCommandOutcome, DutyOutcome, DutyOutput } from "./duty-outputs.js";
 import type { DutyRecords, DutySubject } from "./duty-records.js";
 import { SubjectPerformer, type DutyMachine } from "./subject-performer.js";
 
@@ -44,12 +44,12 @@
   }
 
   /** Advances the clock; returns the commands that are due. */
-  beat(situation: DutySituation): DutyOutput[] {
+  tick(situation: DutySituation): DutyOutput[] {
     this.#refill(situation);
     const outputs: DutyOutput[] = [];
     for (const { subject, acts } of this.#actsBySubject(situation).values()) {
       const performer = this.#performer(subject);
-      const commands = performer.beat({
+      const commands = performer.tick({
         now: situation.now,
         place: situation.place,
         record: situation.records.record(subject),
@@ -63,19 +63,19 @@
   }
 
   /** Handles the outcome of a command. */
-  inquired(ticket: string, outcome: DutyInquiryOutcome, now: number): DutyOutput[] {
+  handleCommandOutcome(ticket: string, outcome: DutyCommandOutcome, now: number): DutyOutput[] {
     const performer = this.#pending.get(ticket);
     this.#pending.delete(ticket);
     if (performer === undefined) return [];
-    return this.#awaitOutcomes(performer, performer.inquired(ticket, outcome, now));
+    return this.#awaitOutcomes(performer, performer.handleCommandOutcome(ticket, outcome, now));
   }
 
   /** Handles the outcome of a call. */
-  called(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
+  handleCallOutcome(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
     const performer = this.#pending.get(ticket);
     this.#pending.delete(ticket);
     if (performer === undefined) return [];
-    return this.#awaitOutcomes(performer, performer.called(ticket, outcome, now));
+    return this.#awaitOutcomes(performer, performer.handleCallOutcome(ticket, outcome, now));
   }
 
   #performer(subject: DutySubject): SubjectPerformer {
--- a/packages/control/src/duties/duty-records.ts
+++ b/packages/control/src/duties/duty-records.ts
@@ -13,7 +13,7 @@
   readonly #bodies = new Map<string, ActBody>();
 
   /** Applies committed changes of control records; ignores those of other kinds. */
-  take(changes: Iterable<Change>): void {
+  apply(changes: Iterable<Change>): void {
     for (const [key, value] of changes) {
       if (key.startsWith(keys.duty)) put(this.#records, key, value);
       else if (key.startsWith(keys.act)) put(this.#bodies, key, value);
@@ -24,7 +24,7 @@
   restore(records: Iterable<Change>): void {
     this.#records.clear();
     this.#bodies.clear();
-    this.take(records);
+    this.apply(records);
   }
 
   record(subject: DutySubject): DutyRecord | undefined {
--- a/packages/control/src/duties/duty-service.ts
+++ b/packages/control/src/duties/duty-service.ts
@@ -1,5 +1,5 @@
 /** Performs the duties of a control process, with I/O (docs/design.md §14). */
-import { metrics, monotonic, type Log } from "@chutewick/shell";
+import { metrics, monotonicNow, type Log } from "@chutewick/shell";
 import { constants, type DutyBounds } from "@chutewick/parts";
 import type { ControlOutcome } from "../control-messages.js";
 import type { ControlCommand } from "../machine.js";
@@ -11,7 +11,12 @@
 import type { DutyRecords } from "./duty-records.js";
 import { PlannedScaling } from "./planned-scaling.js";
 import { ScalingOrders } from "./scaling-orders.js";
-import { UsageReports, type DutySource, type TrueTime, type UsageCounts } from "./usage-reports.js";
+import {
+  UsageReports,
+  type DutySource,
+  type AgreedClock,
+  type UsageCounts,
+} from "./usage-reports.js";
 
 /** Client of the platform; an adapter implements its protocol. */
 export interface DutyPlatform {
@@ -22,7 +27,7 @@
 }
 
 /** What a control machine in quorum contact knows of the control group; only such a machine may win rounds. */
-export interface DutyGround {
+export interface DutyContext {
   /** Position of this machine in the view of the control group. */
   readonly place: number;
   readonly members: number;
@@ -40,7 +45,7 @@
   /** Usage as this machine knows it. */
   readonly counts: UsageCounts;
   /** The clock that divides time into usage windows. */
-  readonly time: TrueTime;
+  readonly time: AgreedClock;
   /** The input of scaling decisions, as this machine knows it. */
   readonly scalingFacts: (now: number) => ScalingFacts;
   /** Runs a command at the head of the control chain. */
@@ -70,13 +75,13 @@
    * Advances the clock. This machine claims nothing while `context` is undefined, nor until nodes had time to report their usage
    * counts to it.
    */
-  beat(now: number, context: DutyGround | undefined): void {
+  tick(now: number, context: DutyContext | undefined): void {
     this.#eligibleSince = context === undefined ? undefined : (this.#eligibleSince ?? now);
     if (context === undefined || now - this.#eligibleSince! < constants.dutyStartDelayMs) return;
-    if (context.isConfigured) this.#usage.begin(now);
+    if (context.isConfigured) this.#usage.start(now);
     const { place, members, records } = context;
     const due = this.#due(now, records);
-    this.#perform(this.#performer.beat({ now, place, members, records, due }));
+    this.#perform(this.#performer.tick({ now, place, members, records, due }));
   }
 
   #due(now: number, records: DutyRecords): DueAct[] {
@@ -104,19 +109,19 @@
   #inquire(ticket: string, command: ControlCommand): void {
     const self = this;
     function complete(outcome: ControlOutcome): void {
-      self.#perform(self.#performer.inquired(ticket, outcome, monotonic()));
+      self.#perform(self.#performer.handleCommandOutcome(ticket, outcome, monotonicNow()));
     }
     this.#options.inquire(command, complete);
   }
 
   async #call(ticket: string, call: DutyCall): Promise<void> {
-    const since = monotonic();
+    const since = monotonicNow();
     const outcome = await this.#options.platform.call(call);
-    const now = monotonic();
+    const now = monotonicNow();
     metrics.noted(`duty call ${outcome}`);
     const { act, fence } = call;
     const took = Math.round(now - since);
     this.#options.log.info({ ...act, fence, outcome, took }, "duty call finished");
-    this.#perform(this.#performer.called(ticket, outcome, now));
+    this.#perform(this.#performer.handleCallOutcome(ticket, outcome, now));
   }
 }
--- a/packages/control/src/duties/subject-performer.ts
+++ b/packages/control/src/duties/subject-performer.ts
@@ -3,7 +3,7 @@
 import { Backoff } from "./backoff.js";
 import { isSuperseding, type ActBody, type ActName, type DueAct } from "./duty-acts.js";
 import { isClaimResult, type DutyRecord } from "./duty-ledger.js";
-import type { DutyInquiryOutcome, DutyOutcome, DutyOutput } from "./duty-outputs.js";
+import type { DutyCommandOutcome, DutyOutcome, DutyOutput } from "./duty-outputs.js";
 import type { DutySubject } from "./duty-records.js";
 import { numberRanges } from "./number-ranges.js";
 
@@ -85,7 +85,7 @@
   }
 
   /** Advances the clock; returns the commands that are due. */
-  beat(situation: SubjectSituation): DutyOutput[] {
+  tick(situation: SubjectSituation): DutyOutput[] {
     this.#observeRound(situation);
     const outputs = this.#finishAccepted(situation);
     if (this.#claim !== undefined && situation.now > this.#freshUntil(this.#claim))
@@ -161,7 +161,7 @@
   }
 
   /** Handles the outcome of a command with a ticket of this subject. */
-  inquired(ticket: string, outcome: DutyInquiryOutcome, now: number): DutyOutput[] {
+  handleCommandOutcome(ticket: string, outcome: DutyCommandOutcome, now: number): DutyOutput[] {
     this.#retryUncommitted(ticket, outcome);
     if (this.#claim?.ticket !== ticket) return [];
     const claim = this.#claim;
@@ -202,7 +202,7 @@
   }
 
   /** Handles the outcome of a call with a ticket of this subject. */
-  called(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
+  handleCallOutcome(ticket: string, outcome: DutyOutcome, now: number): DutyOutput[] {
     if (this.#call?.ticket !== ticket) return [];
     const { act, fence } = this.#call;
     this.#call = undefined;
@@ -258,7 +258,7 @@
   }
 
   /** Marks acts whose report was not committed, so that the next tick reports them again. */
-  #retryUncommitted(ticket: string, outcome: DutyInquiryOutcome): void {
+  #retryUncommitted(ticket: string, outcome: DutyCommandOutcome): void {
     if (outcome.kind === "confirmed") return;
     for (const [number, reportTicket] of this.#acceptedActs)
       if (reportTicket === ticket) this.#acceptedActs.set(number, undefined);
--- a/packages/control/src/duties/usage-reports.ts
+++ b/packages/control/src/duties/usage-reports.ts
@@ -11,7 +11,7 @@
 }
 
 /** Agreed wall-clock time in ms since 1970 at a monotonic time; undefined while there is none. */
-export interface TrueTime {
+export interface AgreedClock {
   at(now: number): number | undefined;
 }
 
@@ -35,18 +35,18 @@
 export class UsageReports implements DutySource {
   readonly #bounds: DutyBounds;
   readonly #counts: UsageCounts;
-  readonly #time: TrueTime;
+  readonly #time: AgreedClock;
   /** The window in which this machine first knew a configuration. */
   #first: number | undefined;
 
-  constructor(bounds: DutyBounds, counts: UsageCounts, time: TrueTime) {
+  constructor(bounds: DutyBounds, counts: UsageCounts, time: AgreedClock) {
     this.#bounds = bounds;
     this.#counts = counts;
     this.#time = time;
   }
 
   /** Called when a configuration is in force: usage is reported from this window on. */
-  begin(now: number): void {
+  start(now: number): void {
     const time = this.#time.at(now);
     if (time !== undefined) this.#first ??= Math.floor(time / this.#bounds.window);
   }
--- a/packages/control/src/explain.ts
+++ b/packages/control/src/explain.ts
@@ -9,10 +9,10 @@
 } from "@chutewick/parts";
 import { configuration, type Configuration, type QueuePlan } from "./configuration.js";
 import { quotaClasses, type QueueQuota } from "./machine.js";
-import { governingIn, type ShareReport } from "./pace.js";
+import { governingSeasons, type ShareReport } from "./pace.js";
 
 /** An operator's query: which season governs lots of a way, a model or an adapter. */
-export interface Asked {
+export interface SeasonQuery {
   readonly way?: string;
   readonly model?: string;
   readonly adapter?: string;
@@ -21,26 +21,26 @@
 }
 
 /** State of the control group that explanations are derived from. */
-export interface Known {
+export interface SeasonContext {
   readonly value: Configuration;
   /** Wall-clock time in ms. */
   readonly wall: number;
-  readonly standings: ReadonlyMap<string, QueueQuota>;
+  readonly queueQuotas: ReadonlyMap<string, QueueQuota>;
   readonly reports: ReadonlyMap<string, ShareReport>;
   readonly runners: readonly RunnerDescriptor[];
 }
 
 /** An explanation as JSON, or why there is none. */
-export type Explained =
+export type ExplainOutcome =
   | { readonly kind: "EXPLAINED"; readonly value: Record<string, unknown> }
   | { readonly kind: "REFUSED"; readonly reason: string };
 
-function refused(reason: string): Explained {
+function refused(reason: string): ExplainOutcome {
   return { kind: "REFUSED", reason };
 }
 
 /** The queue that a query is about, or why there is none. */
-function planOf(query: Asked, value: Configuration): QueuePlan | string {
+function planOf(query: SeasonQuery, value: Configuration): QueuePlan | string {
   let { model, adapter } = query;
   if (query.way !== undefined) {
     const way = Object.hasOwn(value.ways, query.way) ? value.ways[query.way] : undefined;
@@ -57,7 +57,7 @@
 }
 
 /** The season, share and throttle that currently apply to lots with these labels, and why. */
-function explain(query: Asked, known: Known): Explained {
+function explain(query: SeasonQuery, known: SeasonContext): ExplainOutcome {
   const plan = planOf(query, known.value);
   if (typeof plan === "string") return refused(plan);
   const labels: Labels = {
@@ -68,7 +68,7 @@
   const calendar = configuration.seasonsOf(known.value, known.wall);
   const governing = seasons.inForce(calendar, labels, known.wall);
   const name = governing?.name ?? "";
-  const quota = known.standings.get(plan.queue);
+  const quota = known.queueQuotas.get(plan.queue);
   const share = quotaClasses(quota).find(isSeason, { season: name });
   const report = known.reports.get(plan.queue)?.classes.get(name);
   const matching: Season[] = [];
@@ -103,7 +103,7 @@
 function reasonFor(
   governing: Season | undefined,
   matching: readonly Season[],
-  known: Known,
+  known: SeasonContext,
   quota: QueueQuota | undefined,
   runners: number,
 ): string {
@@ -159,7 +159,7 @@
 }
 
 /** What a season that is not configured yet would select if it were open now. */
-function preview(input: unknown, known: Known): Explained {
+function preview(input: unknown, known: SeasonContext): ExplainOutcome {
   const others = configuration.check(
     configuration.patch(known.value, { seasons: { preview: null } }),
   );
@@ -180,7 +180,7 @@
   };
   const queues: Record<string, unknown> = {};
   for (const plan of configuration.queues(value)) {
-    const { seasons: found, whole } = governingIn([season], plan, value);
+    const { seasons: found, whole } = governingSeasons([season], plan, value);
     if (found.length > 0)
       queues[plan.queue] = {
         lots: whole ? "all" : "those that bring or whose way has the labels",
--- a/packages/control/src/head-planner.ts
+++ b/packages/control/src/head-planner.ts
@@ -4,7 +4,7 @@
 import { FleetPlan } from "./fleet-plan.js";
 import { keys } from "./keys.js";
 import type { ControlCommand, Deregistration, FleetRecord } from "./machine.js";
-import { Pacer, type Surroundings } from "./pace.js";
+import { QuotaPlanner, type PlanningContext } from "./pace.js";
 import { QueuePlacement } from "./queue-placement.js";
 import { recordsByQueue, planningContextOf } from "./queue-reports.js";
 
@@ -29,11 +29,11 @@
 export class HeadPlanner {
   readonly #policy: Policy;
   readonly #fleetPlan = new FleetPlan();
-  readonly #pacer: Pacer;
+  readonly #pacer: QuotaPlanner;
 
   constructor(policy: Policy) {
     this.#policy = policy;
-    this.#pacer = new Pacer(policy);
+    this.#pacer = new QuotaPlanner(policy);
   }
 
   /** Commands to submit now, in this order. */
@@ -70,7 +70,7 @@
 
   #firstViewCommands(
     placement: QueuePlacement,
-    { value }: Surroundings,
+    { value }: PlanningContext,
     feed: Feed,
   ): ControlCommand[] {
     const configured = new Set<string>();
@@ -84,7 +84,7 @@
     return commands;
   }
 
-  #throttleCommands(context: Surroundings): ControlCommand[] {
+  #throttleCommands(context: PlanningContext): ControlCommand[] {
     const commands: ControlCommand[] = [];
     for (const [queue, standing] of this.#pacer.plan(context))
       commands.push({ kind: "stand", queue, standing });
--- a/packages/control/src/keys.ts
+++ b/packages/control/src/keys.ts
@@ -30,7 +30,7 @@
   emptying: "emptying/",
   /** The log of accepted orders. */
   taken: "taken",
-  goodbyeKey: deregistrationKey,
+  deregistrationKey: deregistrationKey,
   duty: "duty/",
   act: "act/",
   dutyKey,
--- a/packages/control/src/machine.ts
+++ b/packages/control/src/machine.ts
@@ -6,7 +6,7 @@
   type StateMachine,
   type Selector,
 } from "@chutewick/parts";
-import { configuration, type Configuration, type MarkedConfiguration } from "./configuration.js";
+import { configuration, type Configuration, type VersionedConfiguration } from "./configuration.js";
 import {
   dutyLedger,
   type ClaimAct,
@@ -209,7 +209,7 @@
           time,
         );
       case "goodbye": {
-        const key = keys.goodbyeKey(command.runner);
+        const key = keys.deregistrationKey(command.runner);
         if ((ledger.read<Deregistration>(key)?.incarnation ?? 0) < command.incarnation)
           ledger.put(key, {
             runner: command.runner,
@@ -269,7 +269,7 @@
    */
   #applyOrder(
     ledger: Ledger,
-    current: MarkedConfiguration,
+    current: VersionedConfiguration,
     { expected, mark: requestedVersion, origin, key, value }: ConfigurationOrder,
     time: number,
   ): ControlResult {
--- a/packages/control/src/operator-replies.ts
+++ b/packages/control/src/operator-replies.ts
@@ -1,5 +1,5 @@
 /** HTTP replies of the built-in interface to operators (docs/interface.md). */
-import { metrics, reply, replyTrouble } from "@chutewick/shell";
+import { metrics, reply, replyWithError } from "@chutewick/shell";
 import { constants } from "@chutewick/parts";
 import type { ServerResponse } from "node:http";
 import type { ControlOutcome } from "./control-messages.js";
@@ -10,13 +10,13 @@
 function sendOutcome(response: ServerResponse, result: ControlOutcome): void {
   metrics.changed(result.kind === "confirmed" ? result.value.kind : result.kind);
   if (result.kind === "not-run")
-    return replyTrouble(response, 503, {
+    return replyWithError(response, 503, {
       trouble: "not-run",
       reason: result.reason,
       retryAfter: constants.retryAfter,
     });
   if (result.kind === "unknown")
-    return replyTrouble(response, 504, {
+    return replyWithError(response, 504, {
       trouble: "unknown",
       reason:
         "whether the change takes effect is not known yet; send it again with the same Idempotency-Key, or read the configuration and its mark",
@@ -33,7 +33,7 @@
         ...(value.warnings === undefined ? {} : { warnings: value.warnings }),
       });
     case "CONFLICT":
-      return replyTrouble(response, 409, {
+      return replyWithError(response, 409, {
         trouble: "conflict",
         reason: `the mark is ${value.mark} by now; nothing was changed`,
         mark: value.mark,
@@ -41,7 +41,7 @@
     case "UNKNOWN_MACHINE":
     case "TOO_FEW":
     case "REFUSED":
-      return replyTrouble(response, 422, { trouble: "refused", reason: value.reason });
+      return replyWithError(response, 422, { trouble: "refused", reason: value.reason });
     case "UNDER_WAY":
     case "DONE":
       return reply(response, 200, { done: true });
--- a/packages/control/src/pace.ts
+++ b/packages/control/src/pace.ts
@@ -24,14 +24,14 @@
 }
 
 /** The input of one planning round. */
-export interface Surroundings {
+export interface PlanningContext {
   /** The configuration in force. */
   readonly value: Configuration;
   /** Wall-clock time in ms; decides which seasons are open. */
   readonly wall: number;
   /** Monotonic time in ms. */
   readonly now: number;
-  readonly standings: ReadonlyMap<string, QueueQuota>;
+  readonly queueQuotas: ReadonlyMap<string, QueueQuota>;
   /** By queue; missing for a queue whose owner has not reported yet. */
   readonly reports: ReadonlyMap<string, ShareReport>;
   readonly runners: readonly RunnerDescriptor[];
@@ -66,7 +66,7 @@
 const unrestricted: readonly Selector[] = [];
 
 /** Plans the quotas of all queues; runs on the head of the control chain. */
-export class Pacer {
+export class QuotaPlanner {
   #throttles = new Map<string, ThrottleState>();
   #policy: Policy;
 
@@ -75,7 +75,7 @@
   }
 
   /** The queue quotas that have to change now. */
-  plan(context: Surroundings): [queue: string, quota: QueueQuota][] {
+  plan(context: PlanningContext): [queue: string, quota: QueueQuota][] {
     const drafts = new Map<string, QuotaDraft>();
     // Grouped by season, or by queue for lots that no season selects.
     const groups = new Map<string, { allowance: number; demands: ShareDemand[] }>();
@@ -90,7 +90,7 @@
     for (const plan of configuration.queues(context.value, this.#policy)) {
       const { queue } = plan;
       planned.add(queue);
-      const governing = governingIn(openSeasons, plan, context.value);
+      const governing = governingSeasons(openSeasons, plan, context.value);
       for (const season of governing.seasons)
         addDemand(`season ${season.name}`, season.waiting, {
           queue,
@@ -118,7 +118,7 @@
       });
     }
     // Shares of past seasons and of queues that are no longer configured count until they are drained.
-    for (const [queue, quota] of context.standings) {
+    for (const [queue, quota] of context.queueQuotas) {
       if (!drafts.has(queue)) {
         const [model, adapter] = configuration.modelOf(queue);
         drafts.set(queue, {
@@ -140,7 +140,7 @@
       grantShares(divideAllowance(demands, allowance, context), allowance, context, drafts);
     const changes: [string, QueueQuota][] = [];
     for (const [queue, draft] of drafts) {
-      const next = nextQuota(context.standings.get(queue), draft);
+      const next = nextQuota(context.queueQuotas.get(queue), draft);
       if (next !== undefined) changes.push([queue, next]);
     }
     return changes;
@@ -155,7 +155,7 @@
     model: string,
     adapter: string | undefined,
     runnerSeasons: readonly Season[],
-    context: Surroundings,
+    context: PlanningContext,
   ): number {
     return configuration.isPoolQueue(queue)
       ? constants.throttleLevels
@@ -170,7 +170,7 @@
     model: string,
     adapter: string | undefined,
     runnerSeasons: readonly Season[],
-    context: Surroundings,
+    context: PlanningContext,
   ): number {
     const name = configuration.queueOf(model, adapter);
     const lotLoads = new Map<string, number>();
@@ -224,7 +224,7 @@
 }
 
 /** The seasons that may select lots of a queue, in order of precedence, and whether they select every lot of it. */
-export function governingIn(
+export function governingSeasons(
   openSeasons: readonly Season[],
   plan: QueuePlan,
   value: Configuration,
@@ -272,8 +272,8 @@
   return { ...base, tokens: (base.tokens * pace) / constants.throttleLevels };
 }
 
-function classOf(context: Surroundings, queue: string, season: string): QuotaClass | undefined {
-  for (const quotaClass of quotaClasses(context.standings.get(queue)))
+function classOf(context: PlanningContext, queue: string, season: string): QuotaClass | undefined {
+  for (const quotaClass of quotaClasses(context.queueQuotas.get(queue)))
     if (quotaClass.season === season) return quotaClass;
   return undefined;
 }
@@ -285,7 +285,7 @@
 function divideAllowance(
   demands: readonly ShareDemand[],
   allowance: number,
-  context: Surroundings,
+  context: PlanningContext,
 ): ShareDemand[] {
   const needs: number[] = [];
   let targets = 0;
@@ -314,7 +314,7 @@
 function grantShares(
   demands: readonly ShareDemand[],
   allowance: number,
-  context: Surroundings,
+  context: PlanningContext,
   drafts: ReadonlyMap<string, QuotaDraft>,
 ): void {
   let committed = 0;
@@ -325,7 +325,7 @@
     const report = context.reports.get(queue);
     const reported = report?.classes.get(season)?.held ?? 0;
     const known =
-      report !== undefined && report.shareMark === context.standings.get(queue)!.shareMark
+      report !== undefined && report.shareMark === context.queueQuotas.get(queue)!.shareMark
         ? Math.max(current.target, Math.min(current.granted, reported))
         : current.granted;
     granted.set(queue, known);
--- a/packages/control/src/published.ts
+++ b/packages/control/src/published.ts
@@ -1,4 +1,4 @@
-import type { MarkedConfiguration } from "./configuration.js";
+import type { VersionedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 
 /**
@@ -9,7 +9,7 @@
 export function published(key: string, value: unknown): unknown {
   if (isInternalToControl(key)) return undefined;
   if (key !== keys.configuration) return value;
-  const { origin: _origin, ...configuration } = value as MarkedConfiguration;
+  const { origin: _origin, ...configuration } = value as VersionedConfiguration;
   return configuration;
 }
 
--- a/packages/control/src/queue-reports.ts
+++ b/packages/control/src/queue-reports.ts
@@ -1,8 +1,8 @@
 import type { ChainView, Feed, NodeDescriptor, Sessions } from "@chutewick/parts";
-import { configuration, type MarkedConfiguration } from "./configuration.js";
+import { configuration, type VersionedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 import type { QueueQuota } from "./machine.js";
-import type { ShareReport, Surroundings } from "./pace.js";
+import type { ShareReport, PlanningContext } from "./pace.js";
 
 /** Sources of the planning context. */
 export interface PlanningContextSource {
@@ -20,14 +20,14 @@
   sessions,
   now,
   wall,
-}: PlanningContextSource): Surroundings {
-  const current = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
+}: PlanningContextSource): PlanningContext {
+  const current = configuration.read(feed.read<VersionedConfiguration>(keys.configuration));
   const standings = recordsByQueue<QueueQuota>(feed, keys.standing);
   return {
     value: current.value,
     now,
     wall,
-    standings,
+    queueQuotas: standings,
     reports: ownerReports(feed, sessions.live("storage", now), standings),
     runners: sessions.registry(now).runners,
     access: sessions.live("access", now),
--- a/packages/control/src/runner-announcements.ts
+++ b/packages/control/src/runner-announcements.ts
@@ -8,7 +8,7 @@
   { id, incarnation }: Pick<RunnerDescriptor, "id" | "incarnation">,
   feed: Feed,
 ): boolean {
-  const deregistration = feed.read<Deregistration>(keys.goodbyeKey(id));
+  const deregistration = feed.read<Deregistration>(keys.deregistrationKey(id));
   return (deregistration?.incarnation ?? 0) >= incarnation;
 }
 
--- a/packages/control/src/scaling/pool-scaler.ts
+++ b/packages/control/src/scaling/pool-scaler.ts
@@ -2,7 +2,7 @@
 import { constants } from "@chutewick/parts";
 import { Demand } from "./demand.js";
 import type { PoolLoad, ScalingBounds } from "./scaling-facts.js";
-import { ZoneStanding } from "./zone-standing.js";
+import { ZoneState } from "./zone-standing.js";
 
 /** The desired number of runners of a pool in a zone. */
 export interface ScalingOrder {
@@ -23,7 +23,7 @@
  */
 export class PoolScaler {
   readonly #pool: string;
-  readonly #zones = new Map<string, ZoneStanding>();
+  readonly #zones = new Map<string, ZoneState>();
   readonly #demand = new Demand();
   readonly #startedAt: number;
   /** Recent samples that no later sample reaches, the greatest first (a sliding-window maximum). */
@@ -42,7 +42,7 @@
   }
 
   /** How often the ordered count changed its direction. */
-  get turns(): number {
+  get directionChanges(): number {
     return this.#turns;
   }
 
@@ -68,7 +68,7 @@
     for (const zone of load.zones) {
       let state = this.#zones.get(zone.zone);
       if (state === undefined) {
-        state = new ZoneStanding();
+        state = new ZoneState();
         this.#zones.set(zone.zone, state);
       }
       state.observe(zone, now);
@@ -122,7 +122,7 @@
   /** @returns the number of runners that could not be added */
   #add(
     desired: Map<string, number>,
-    zones: readonly (readonly [string, ZoneStanding])[],
+    zones: readonly (readonly [string, ZoneState])[],
     more: number,
     maximum: number,
   ): number {
@@ -177,7 +177,7 @@
 
 /** The zone with the highest score. Ties are broken by name, so that all control machines choose the same zone. */
 function bestOf(
-  zones: readonly (readonly [string, ZoneStanding])[],
+  zones: readonly (readonly [string, ZoneState])[],
   score: (zone: string, share: number) => number,
 ): string | undefined {
   let best: { zone: string; score: number } | undefined;
--- a/packages/control/src/scaling/scaling-planner.ts
+++ b/packages/control/src/scaling/scaling-planner.ts
@@ -27,7 +27,7 @@
   }
 
   /** How often the ordered count of a pool changed its direction. */
-  turnsOf(pool: string): number {
-    return this.#scalers.get(pool)?.turns ?? 0;
+  directionChangesOf(pool: string): number {
+    return this.#scalers.get(pool)?.directionChanges ?? 0;
   }
 }
--- a/packages/control/src/scaling/zone-standing.ts
+++ b/packages/control/src/scaling/zone-standing.ts
@@ -3,7 +3,7 @@
 import type { ZoneRunners } from "./scaling-facts.js";
 
 /** Ordered and serving runners of a pool in one zone. */
-export class ZoneStanding {
+export class ZoneState {
   /** Runners in this zone before the first order; new runners are spread over the zones in the same proportion. */
   share = 0;
   /** The ordered number of runners, or the highest number observed if none was ordered yet. */
--- a/packages/control/src/service.ts
+++ b/packages/control/src/service.ts
@@ -1,21 +1,21 @@
 /** The process of a control machine: it connects the core to sockets, disk and timers (docs/design.md §10). */
 import { createHash, randomUUID } from "node:crypto";
 import {
-  Beat,
-  countsOfWire,
+  Ticker,
+  readWireCounts,
   createWire,
   Gateway,
   invariants,
   listen,
   metrics,
-  monotonic,
+  monotonicNow,
   openDataFolder,
-  operatorOpenings,
+  operatorRoutes,
   reply,
-  replyTrouble,
+  replyWithError,
   settings as configured,
-  settled,
-  type Arrival,
+  waitUntil,
+  type GatewayRequest,
   type Disk,
   type Log,
   type Settings,
@@ -30,7 +30,7 @@
   type RunnerDescriptor,
 } from "@chutewick/parts";
 import type { ServiceSchema } from "moleculer";
-import type { ControlDesk, ControlFront } from "./control-desk.js";
+import type { ControlApi, ControlAdapter } from "./control-desk.js";
 import type {
   ReportAnswer,
   ControlMessage,
@@ -39,14 +39,14 @@
 } from "./control-messages.js";
 import { ControlCore, noQuorumReason } from "./core.js";
 import { DutyService, type DutyPlatform } from "./duties/duty-service.js";
-import type { Explained } from "./explain.js";
+import type { ExplainOutcome } from "./explain.js";
 import type { ControlCommand } from "./machine.js";
 import { operatorReplies } from "./operator-replies.js";
 
 /** Optional parts of a control process. */
-export interface ControlExtras {
+export interface ControlOptions {
   /** Further interfaces for operators and runners. */
-  readonly fronts?: readonly ControlFront[];
+  readonly fronts?: readonly ControlAdapter[];
   /** The platform that duties are performed at; without it none are. */
   readonly dutyPlatform?: DutyPlatform;
 }
@@ -58,20 +58,20 @@
   #disk: Disk;
   #wire: Wire;
   #gateway: Gateway;
-  #ticker = new Beat();
+  #ticker = new Ticker();
   /** Callbacks of commands without an outcome so far, by ticket. */
   #pendingCommands = new Map<string, (outcome: ControlOutcome) => void>();
-  #adapters: readonly ControlFront[];
+  #adapters: readonly ControlAdapter[];
   #duties: DutyService | undefined;
   #ticketNumber = 0;
 
-  private constructor(settings: Settings, log: Log, disk: Disk, extras: ControlExtras) {
+  private constructor(settings: Settings, log: Log, disk: Disk, extras: ControlOptions) {
     this.#log = log;
     this.#adapters = extras.fronts ?? [];
     this.#disk = disk;
     const self = this;
     function receive(message: unknown, from: string): void {
-      self.#perform(self.#core.receive(message as ControlMessage, from, monotonic()));
+      self.#perform(self.#core.receive(message as ControlMessage, from, monotonicNow()));
     }
     const member = { identity: disk.identity, address: settings.wire };
     this.#core = new ControlCore(
@@ -85,16 +85,16 @@
         policy: configured.policyOf(settings),
         founding: settings.founding && !disk.isReplacement,
       },
-      monotonic(),
+      monotonicNow(),
     );
-    disk.forgetFound();
+    disk.releasePersistedState();
     this.#wire = createWire(settings, log, receive);
     this.#gateway = new Gateway({
       address: settings.http,
       log,
       owners: [this.#handlers()],
-      openings: [
-        ...operatorOpenings,
+      routes: [
+        ...operatorRoutes,
         { method: "GET", path: "/seasons/explain", event: "operator.explain" },
         { method: "POST", path: "/seasons/preview", event: "operator.preview" },
         { method: "GET", path: "/configuration", event: "operator.configuration.get" },
@@ -110,7 +110,7 @@
   static async open(
     settings: Settings,
     log: Log,
-    extras: ControlExtras = {},
+    extras: ControlOptions = {},
   ): Promise<Outcome<ControlProcess>> {
     const running: { process?: ControlProcess } = {};
     function conditionChanged(condition: DiskCondition): void {
@@ -126,12 +126,12 @@
     const listenError = await listen(opened.#wire, opened.#gateway);
     if (listenError !== undefined) return outcome.failure(listenError);
     function tick(now: number): void {
-      dataFolder.beat(now);
+      dataFolder.tick(now);
       opened.#perform(opened.#core.tick(now, Date.now()));
-      opened.#wire.beat(now);
-      opened.#duties?.beat(now, opened.#core.dutyContext(now));
+      opened.#wire.tick(now);
+      opened.#duties?.tick(now, opened.#core.dutyContext(now));
     }
-    opened.#perform(opened.#core.start(monotonic()));
+    opened.#perform(opened.#core.start(monotonicNow()));
     opened.#ticker.start(tick);
     for (const adapter of opened.#adapters) await adapter.open(opened.#api());
     log.info(
@@ -142,7 +142,7 @@
   }
 
   changeDisk(condition: DiskCondition): void {
-    this.#perform(this.#core.diskChanged(condition, monotonic()));
+    this.#perform(this.#core.diskChanged(condition, monotonicNow()));
   }
 
   /**
@@ -150,13 +150,13 @@
    * wait for its timeout (docs/design.md §8.6).
    */
   async close(): Promise<void> {
-    this.#perform(this.#core.leave(monotonic()));
+    this.#perform(this.#core.leave(monotonicNow()));
     const self = this;
-    const deadline = monotonic() + constants.handOverTimeoutMs;
+    const deadline = monotonicNow() + constants.handOverTimeoutMs;
     function isReleased(): boolean {
-      return !self.#core.isNeeded || monotonic() > deadline;
+      return !self.#core.isNeeded || monotonicNow() > deadline;
     }
-    await settled(isReleased);
+    await waitUntil(isReleased);
     const closing = [this.#gateway.close(constants.orderReplyTimeoutMs)];
     for (const adapter of this.#adapters) closing.push(adapter.close());
     this.#duties?.close();
@@ -184,10 +184,14 @@
   }
 
   /** The API for adapters (docs/design.md §13.2). */
-  #api(): ControlDesk {
+  #api(): ControlApi {
     const self = this;
     function announce(card: Omit<RunnerDescriptor, "age">, sequence: number): ReportAnswer["kind"] {
-      const { told: acknowledgement, outputs } = self.#core.announce(card, sequence, monotonic());
+      const { told: acknowledgement, outputs } = self.#core.announce(
+        card,
+        sequence,
+        monotonicNow(),
+      );
       self.#perform(outputs);
       return acknowledgement.kind;
     }
@@ -203,27 +207,27 @@
   /** Handlers of the HTTP requests to this process. */
   #handlers(): ServiceSchema {
     const self = this;
-    function status(arrival: Arrival): void {
+    function status(arrival: GatewayRequest): void {
       reply(arrival.reply, 200, {
-        ...self.#core.status(monotonic()),
-        duties: self.#duties?.status(monotonic(), self.#core.dutyRecords),
+        ...self.#core.status(monotonicNow()),
+        duties: self.#duties?.status(monotonicNow(), self.#core.dutyRecords),
         counts: {
           syncs: self.#disk.syncs,
-          ...countsOfWire(self.#wire),
+          ...readWireCounts(self.#wire),
         },
         violations: invariants.counts(),
       });
     }
-    function get(arrival: Arrival): void {
+    function get(arrival: GatewayRequest): void {
       self.#inquire(arrival, { kind: "read" });
     }
-    function put(arrival: Arrival): void {
+    function put(arrival: GatewayRequest): void {
       const expected = expectedVersion(arrival);
       if (!expected.ok)
-        return replyTrouble(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
+        return replyWithError(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
       const key = idempotencyKey(arrival, "put");
       if (!key.ok)
-        return replyTrouble(arrival.reply, 400, { trouble: "bad-key", reason: key.reason });
+        return replyWithError(arrival.reply, 400, { trouble: "bad-key", reason: key.reason });
       self.#inquire(arrival, {
         kind: "put",
         expected: expected.value,
@@ -231,18 +235,18 @@
         word: key.value,
       });
     }
-    function patch(arrival: Arrival): void {
+    function patch(arrival: GatewayRequest): void {
       const expected = expectedVersion(arrival);
       if (!expected.ok)
-        return replyTrouble(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
+        return replyWithError(arrival.reply, 400, { trouble: "bad-mark", reason: expected.reason });
       if (typeof arrival.body !== "object" || arrival.body === null || Array.isArray(arrival.body))
-        return replyTrouble(arrival.reply, 422, {
+        return replyWithError(arrival.reply, 422, {
           trouble: "refused",
           reason: "(whole): a small change must be one JSON object",
         });
       const key = idempotencyKey(arrival, "patch");
       if (!key.ok)
-        return replyTrouble(arrival.reply, 400, { trouble: "bad-key", reason: key.reason });
+        return replyWithError(arrival.reply, 400, { trouble: "bad-key", reason: key.reason });
       self.#inquire(arrival, {
         kind: "patch",
         expected: expected.value,
@@ -250,22 +254,22 @@
         word: key.value,
       });
     }
-    function empty(arrival: Arrival): void {
+    function empty(arrival: GatewayRequest): void {
       self.#inquire(arrival, {
         kind: "empty",
         identity: arrival.parameters["identity"]!,
         wanted: true,
       });
     }
-    function keep(arrival: Arrival): void {
+    function keep(arrival: GatewayRequest): void {
       self.#inquire(arrival, {
         kind: "empty",
         identity: arrival.parameters["identity"]!,
         wanted: false,
       });
     }
-    async function sendMetrics(arrival: Arrival): Promise<void> {
-      const { place, configuration: mark, head, view } = self.#core.status(monotonic());
+    async function sendMetrics(arrival: GatewayRequest): Promise<void> {
+      const { place, configuration: mark, head, view } = self.#core.status(monotonicNow());
       reply(
         arrival.reply,
         200,
@@ -280,18 +284,18 @@
         }),
       );
     }
-    function sendExplanation(arrival: Arrival, explanation: Explained): void {
+    function sendExplanation(arrival: GatewayRequest, explanation: ExplainOutcome): void {
       if (explanation.kind === "REFUSED")
-        replyTrouble(arrival.reply, 422, { trouble: "refused", reason: explanation.reason });
+        replyWithError(arrival.reply, 422, { trouble: "refused", reason: explanation.reason });
       else reply(arrival.reply, 200, explanation.value);
     }
     // Rejects a request without quorum contact, since the state of this machine may be out of date.
-    function isRejectedWithoutQuorum(arrival: Arrival): boolean {
-      if (self.#core.hasQuorum(monotonic())) return false;
+    function isRejectedWithoutQuorum(arrival: GatewayRequest): boolean {
+      if (self.#core.hasQuorum(monotonicNow())) return false;
       operatorReplies.sendOutcome(arrival.reply, { kind: "not-run", reason: noQuorumReason });
       return true;
     }
-    function explain(arrival: Arrival): void {
+    function explain(arrival: GatewayRequest): void {
       if (isRejectedWithoutQuorum(arrival)) return;
       const { way, model, adapter, labels = "" } = arrival.query;
       const lotLabels: Record<string, string> = {};
@@ -299,19 +303,19 @@
         const cut = text.indexOf("=");
         if (cut > 0) lotLabels[text.slice(0, cut)] = text.slice(cut + 1);
         else if (text !== "")
-          return replyTrouble(arrival.reply, 422, {
+          return replyWithError(arrival.reply, 422, {
             trouble: "refused",
             reason: `labels: ${text} must be key=value`,
           });
       }
       sendExplanation(
         arrival,
-        self.#core.explain({ way, model, adapter, labels: lotLabels }, monotonic()),
+        self.#core.explain({ way, model, adapter, labels: lotLabels }, monotonicNow()),
       );
     }
-    function preview(arrival: Arrival): void {
+    function preview(arrival: GatewayRequest): void {
       if (isRejectedWithoutQuorum(arrival)) return;
-      sendExplanation(arrival, self.#core.preview(arrival.body, monotonic()));
+      sendExplanation(arrival, self.#core.preview(arrival.body, monotonicNow()));
     }
     return {
       name: "control",
@@ -329,7 +333,7 @@
     };
   }
 
-  #inquire(arrival: Arrival, command: ControlCommand): void {
+  #inquire(arrival: GatewayRequest, command: ControlCommand): void {
     function complete(outcome: ControlOutcome): void {
       operatorReplies.sendOutcome(arrival.reply, outcome);
     }
@@ -341,7 +345,7 @@
     this.#ticketNumber += 1;
     const ticket = `http/${this.#ticketNumber}`;
     this.#pendingCommands.set(ticket, complete);
-    this.#perform(this.#core.inquire(ticket, command, monotonic()));
+    this.#perform(this.#core.inquire(ticket, command, monotonicNow()));
   }
 
   /** Performs the outputs of the core. */
@@ -355,7 +359,7 @@
         case "write": {
           const { ticket } = output;
           function written(): void {
-            self.#perform(self.#core.chainWritten(ticket, monotonic()));
+            self.#perform(self.#core.chainWritten(ticket, monotonicNow()));
           }
           this.#disk.writeChain(output.chain, output.write, written);
           break;
@@ -363,7 +367,7 @@
         case "vote": {
           const { ticket } = output;
           function written(): void {
-            self.#perform(self.#core.voteWritten(ticket, monotonic()));
+            self.#perform(self.#core.voteWritten(ticket, monotonicNow()));
           }
           this.#disk.writeVotes(output.state, written);
           break;
@@ -384,7 +388,7 @@
 }
 
 /** The configuration version that a change is based on, from the If-Match header. */
-function expectedVersion(arrival: Arrival): Outcome<number | undefined> {
+function expectedVersion(arrival: GatewayRequest): Outcome<number | undefined> {
   const text = arrival.headers["if-match"];
   if (text === undefined) return outcome.success(undefined);
   const mark = Number(text.replaceAll('"', ""));
@@ -400,7 +404,10 @@
  * The key that identifies a retried change, if the caller gives one. It is hashed together with the request, so the same key on
  * another change identifies another order.
  */
-function idempotencyKey(arrival: Arrival, kind: "put" | "patch"): Outcome<string | undefined> {
+function idempotencyKey(
+  arrival: GatewayRequest,
+  kind: "put" | "patch",
+): Outcome<string | undefined> {
   const key = arrival.headers["idempotency-key"];
   if (key === undefined) return outcome.success(undefined);
   if (typeof key !== "string" || key === "" || key.length > maxIdempotencyKeyLength)
--- a/packages/control/src/shares-in-step.ts
+++ b/packages/control/src/shares-in-step.ts
@@ -1,6 +1,6 @@
 /** Tracks when the shares of waiting work follow a change of the configuration (docs/design.md §7.1, §8.4). */
 import type { Feed } from "@chutewick/parts";
-import { configuration, type MarkedConfiguration } from "./configuration.js";
+import { configuration, type VersionedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 import { quotaClasses, type ControlCommand, type QueueQuota } from "./machine.js";
 
@@ -27,7 +27,7 @@
 
 /** Whether any season is configured or recorded: only seasons divide waiting work by a configuration change. */
 function hasSeasons(feed: Feed): boolean {
-  const { value } = configuration.read(feed.read<MarkedConfiguration>(keys.configuration));
+  const { value } = configuration.read(feed.read<VersionedConfiguration>(keys.configuration));
   if (Object.keys(value.seasons).length > 0) return true;
   for (const [, standing] of feed.under<QueueQuota>(keys.standing))
     if (quotaClasses(standing).some(({ season }) => season !== "")) return true;
--- a/packages/control/src/tenants-record.ts
+++ b/packages/control/src/tenants-record.ts
@@ -5,7 +5,7 @@
  * at once, so no reader sees one without the other (docs/design.md §13.10).
  */
 import type { Ledger } from "@chutewick/parts";
-import { configuration, type Configuration, type MarkedConfiguration } from "./configuration.js";
+import { configuration, type Configuration, type VersionedConfiguration } from "./configuration.js";
 import { keys } from "./keys.js";
 
 type Tenants = NonNullable<Configuration["tenants"]>;
@@ -22,11 +22,11 @@
 const TENANT_RECORDS = 64;
 
 /** Cache of configurations with their tenants, by the record of the configuration, which each change replaces. */
-const joinedCache = new WeakMap<MarkedConfiguration, MarkedConfiguration>();
+const joinedCache = new WeakMap<VersionedConfiguration, VersionedConfiguration>();
 
 /** The configuration in force, with its tenants. Returns the same object until something changes. */
-export function configurationIn(records: RecordReader): MarkedConfiguration {
-  const stored = configuration.read(records.read<MarkedConfiguration>(keys.configuration));
+export function configurationIn(records: RecordReader): VersionedConfiguration {
+  const stored = configuration.read(records.read<VersionedConfiguration>(keys.configuration));
   if (records.read<Tenants>(keyOf(0)) === undefined) return stored;
   const known = joinedCache.get(stored);
   if (known !== undefined) return known;
@@ -41,9 +41,9 @@
 /** Writes a configuration, and those records of tenants that differ from the ones in force. */
 export function putConfiguration(
   ledger: Ledger,
-  { value: { tenants, ...value }, ...marked }: MarkedConfiguration,
+  { value: { tenants, ...value }, ...marked }: VersionedConfiguration,
 ): void {
-  ledger.put(keys.configuration, { ...marked, value } satisfies MarkedConfiguration);
+  ledger.put(keys.configuration, { ...marked, value } satisfies VersionedConfiguration);
   const divided = divide(tenants);
   for (let number = 0; number < TENANT_RECORDS; number += 1) {
     const key = keyOf(number);
--- a/packages/control/src/usage/control-usage.ts
+++ b/packages/control/src/usage/control-usage.ts
@@ -34,7 +34,7 @@
     return Math.round(this.#wall + now - this.#wallReadAt);
   }
 
-  beat(now: number, wall: number): void {
+  tick(now: number, wall: number): void {
     this.#wall = wall;
     this.#wallReadAt = now;
     this.time.recordReading({ source: this.#self.address, wall, late: 0 }, now);
@@ -43,7 +43,7 @@
   /**
    * Records the clock of a peer. A peer that has just started lacks the counts of nodes that are gone, so these are sent to it.
    */
-  heardPeer(
+  recordPeerClock(
     from: string,
     { stamp, back, wall }: RegistryMessage,
     isClosed: (incarnation: string) => boolean,
@@ -63,10 +63,10 @@
    * Records counts of an access node. Counts of a node that is gone come from a peer; those messages have number 0 and are not
    * acknowledged.
    */
-  take(message: UsageMessage, from: string, now: number): ControlOutput[] {
+  recordUsage(message: UsageMessage, from: string, now: number): ControlOutput[] {
     // Without the agreed time the counts cannot be stored; they must not be acknowledged, or they would never be sent again.
     if (this.ledger.windowAt(now) === undefined) return [];
-    this.ledger.take(message, now);
+    this.ledger.merge(message, now);
     const { since, upTo } = message;
     if (upTo === 0) return [];
     const acknowledgement: UsageTakenMessage = {
--- a/packages/control/src/usage/usage-ledger.ts
+++ b/packages/control/src/usage/usage-ledger.ts
@@ -36,7 +36,7 @@
   }
 
   /** Merges counts. Merging is idempotent and independent of the order. */
-  take({ life, windows }: UsageMessage, now: number): void {
+  merge({ life, windows }: UsageMessage, now: number): void {
     for (const { window, counts } of windows) {
       if (!this.#isKept(window, now)) continue;
       const tenants = this.#tenantsOf(window, life);
--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -9,8 +9,8 @@
 import type { PassageEvent } from "./dialect.js";
 import { LiveRequests } from "./live-requests.js";
 import { LotRequests } from "./lot-requests.js";
-import { Membership, type Standing } from "./membership.js";
-import { PassLots } from "./pass-lots.js";
+import { Membership, type NodeIdentity } from "./membership.js";
+import { PassageLots } from "./pass-lots.js";
 import { PendingCalls } from "./pending-calls.js";
 import { PromptDispatcher } from "./prompt-dispatcher.js";
 import type { DataMessage } from "./queue-messages.js";
@@ -43,13 +43,13 @@
   /** Chooses the runners of requests on passages (§13.4). */
   readonly choice: RunnerBalancer;
   /** Lots (batch jobs) of passages (§13.7). */
-  readonly lots: PassLots;
+  readonly lots: PassageLots;
   /** Live requests on passages (§13.5). */
   readonly relay: RelayCore;
   /** Counts started requests by usage window and tenant (§14.2). */
   readonly usage: AccessUsage;
   readonly counts: AccessCounts = newAccessCounts();
-  #nodeIdentity: Standing;
+  #nodeIdentity: NodeIdentity;
   #pendingCalls: PendingCalls;
   #controlCalls: ControlCalls;
   #admission: Admission;
@@ -61,7 +61,7 @@
   #now: number;
 
   constructor(
-    nodeIdentity: Standing,
+    nodeIdentity: NodeIdentity,
     seeds: readonly string[],
     now: number,
     nodePolicy: Policy = policy.defaults,
@@ -93,7 +93,7 @@
     this.#dispatcher = new PromptDispatcher(dependencies);
     this.usage = new AccessUsage(nodeIdentity.identity, nodePolicy.usageWindow);
     this.relay = new RelayCore(membership, this.choice, nodePolicy, this.usage.counter);
-    this.lots = new PassLots(membership, this.choice, pendingCalls, this.relay);
+    this.lots = new PassageLots(membership, this.choice, pendingCalls, this.relay);
   }
 
   #buildReport(): NodeReport {
@@ -135,11 +135,11 @@
       case "feed":
       case "feed-digest":
         if (!this.membership.receive(message, from, now)) return [];
-        this.#dispatcher.endPauses();
+        this.#dispatcher.clearBackoffs();
         this.lots.dispatcher.endPauses();
-        return this.membership.tell(now);
+        return this.membership.sendHeartbeats(now);
       case "lease":
-        this.usage.heardLease(from, message, now);
+        this.usage.recordLease(from, message, now);
         this.membership.receive(message, from, now);
         return [];
       case "usage-taken":
@@ -151,13 +151,13 @@
         return [];
       case "fellow-ask":
       case "fellow-tell":
-        return this.membership.peer(message, from, now);
+        return this.membership.receiveFromPeer(message, from, now);
       case "queue-result":
         return this.#handleQueueResult(message, now);
       case "lot-ended":
-        return this.lots.dropped(message.lot, now);
+        return this.lots.handleLotEnded(message.lot, now);
       case "control-result":
-        return this.#controlCalls.ended(message.ticket, message.outcome, now);
+        return this.#controlCalls.handleOutcome(message.ticket, message.outcome, now);
       default:
         return [];
     }
@@ -169,7 +169,7 @@
   ): AccessOutput[] {
     return (
       this.#pendingCalls.ended(ticket, outcome, now, held ?? 0) ??
-      this.#dispatcher.lateResult(outcome, now)
+      this.#dispatcher.handleLateResult(outcome, now)
     );
   }
 
@@ -178,14 +178,14 @@
     this.#now = now;
     this.#lotRequests.observeWallClock(wallClock);
     const outputs: AccessOutput[] = [
-      ...this.membership.beat(now),
+      ...this.membership.tick(now),
       ...this.#pendingCalls.beat(now),
       ...this.#controlCalls.beat(now),
-      ...this.usage.beat(now, wallClock, this.membership.toldAt === now),
+      ...this.usage.tick(now, wallClock, this.membership.heartbeatSentAt === now),
     ];
     this.#registrations.tick(now);
-    outputs.push(...this.#dispatcher.beat(now));
-    outputs.push(...this.relay.beat(now), ...this.lots.beat(now));
+    outputs.push(...this.#dispatcher.tick(now));
+    outputs.push(...this.relay.beat(now), ...this.lots.tick(now));
     return outputs;
   }
 
@@ -218,7 +218,7 @@
     if (job === undefined) return [];
     return job.kind === "live"
       ? this.#liveRequests.handleAttemptEvent(attempt, job, event, now)
-      : this.#dispatcher.attemptEvent(attempt, job, event, now);
+      : this.#dispatcher.handleAttemptEvent(attempt, job, event, now);
   }
 
   /** The same as `mayStart`, for attempts on passages. */
@@ -232,7 +232,7 @@
   passEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
     this.#now = now;
     return this.lots.has(attempt)
-      ? this.lots.goEvent(attempt, event, now)
+      ? this.lots.handleAttemptEvent(attempt, event, now)
       : this.relay.goEvent(attempt, event, now);
   }
 
@@ -255,7 +255,7 @@
     labels: unknown,
     now: number,
   ): AccessOutput[] {
-    return this.#lotRequests.handIn({ ticket, routeName, key, items, labels }, now);
+    return this.#lotRequests.submit({ ticket, routeName, key, items, labels }, now);
   }
 
   /** Looks up the state of a lot. */
@@ -275,7 +275,7 @@
       zone: this.#nodeIdentity.zone,
       place: this.membership.follower.place,
       configuration: this.membership.configuration.mark,
-      leaseLeft: Math.round(this.membership.leaseLeft(now)),
+      leaseLeft: Math.round(this.membership.remainingLeaseMs(now)),
       live: this.#liveRequests.size,
       gos: this.#attempts.size,
       counts: {
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -9,21 +9,21 @@
   type Outcome,
 } from "@chutewick/parts";
 import {
-  Beat,
-  countsOfWire,
+  Ticker,
+  readWireCounts,
   createWire,
   explain,
   Gateway,
   invariants,
   listen,
   metrics,
-  monotonic,
-  operatorOpenings,
+  monotonicNow,
+  operatorRoutes,
   reply,
-  replyTrouble,
+  replyWithError,
   settings as configured,
-  settled,
-  type Arrival,
+  waitUntil,
+  type GatewayRequest,
   type Log,
   type Settings,
   type Wire,
@@ -36,7 +36,7 @@
 import { PassCallers } from "./caller-delivery.js";
 import type { PassageEvent, PassageRequest, RunnerProtocol } from "./dialect.js";
 import type { ErrorBody } from "./error-reply.js";
-import { Links } from "./link.js";
+import { RunnerConnections } from "./link.js";
 import { MembershipLog } from "./membership-log.js";
 import { nativeProtocol } from "./own-dialect.js";
 import { PassConnections } from "./pass-link.js";
@@ -79,8 +79,8 @@
   #core: AccessCore;
   #wire: Wire;
   #gateway: Gateway;
-  #connections: Links;
-  #beat = new Beat({ isIdle: () => this.#isIdle });
+  #connections: RunnerConnections;
+  #beat = new Ticker({ isIdle: () => this.#isIdle });
   /** Open HTTP responses by ticket. */
   #responses = new Map<string, ServerResponse>();
   #passageCallers = new PassCallers();
@@ -103,13 +103,13 @@
     this.#warmUpSample = extras.warmUp;
     const self = this;
     function receive(message: unknown, from: string): void {
-      self.#perform(self.#core.receive(message as DataMessage, from, monotonic()));
+      self.#perform(self.#core.receive(message as DataMessage, from, monotonicNow()));
     }
     function mayStart(attempt: number): string | undefined {
-      return self.#core.mayStart(attempt, monotonic());
+      return self.#core.mayStart(attempt, monotonicNow());
     }
     function onRunnerEvent(attempt: number, event: GoEvent): void {
-      self.#perform(self.#core.goEvent(attempt, event, monotonic()));
+      self.#perform(self.#core.goEvent(attempt, event, monotonicNow()));
     }
     const identity = `${settings.name}-${randomUUID()}`;
     this.#core = new AccessCore(
@@ -122,15 +122,15 @@
         name: settings.name,
       },
       settings.seeds,
-      monotonic(),
+      monotonicNow(),
       configured.policyOf(settings),
     );
-    this.#connections = new Links(mayStart, onRunnerEvent);
+    this.#connections = new RunnerConnections(mayStart, onRunnerEvent);
     function mayStartOnPassage(attempt: number): string | undefined {
-      return self.#core.mayPass(attempt, monotonic());
+      return self.#core.mayPass(attempt, monotonicNow());
     }
     function onPassageEvent(attempt: number, event: PassageEvent): void {
-      self.#perform(self.#core.passEvent(attempt, event, monotonic()));
+      self.#perform(self.#core.passEvent(attempt, event, monotonicNow()));
     }
     function connectionLimit(address: string): number {
       return self.#core.choice.connectionLimit(address);
@@ -142,7 +142,7 @@
       mayStart: mayStartOnPassage,
       told: onPassageEvent,
       share: connectionLimit,
-      now: monotonic,
+      now: monotonicNow,
     });
     this.#core.choice.useConnections((address) => this.#passageConnections.openTo(address));
     this.#wire = createWire(settings, log, receive);
@@ -150,8 +150,8 @@
       address: settings.http,
       log,
       owners: [this.#createHandlers()],
-      openings: [
-        ...operatorOpenings,
+      routes: [
+        ...operatorRoutes,
         { method: "POST", path: "/ways/:way", event: "inquiry.arrived" },
         { method: "GET", path: "/ways/:way/:path*", event: "inquiry.fetch" },
         { method: "POST", path: "/lots/:way", event: "lot.handed-in" },
@@ -175,7 +175,7 @@
     function tick(now: number): void {
       access.#perform(access.#core.beat(now, Date.now()));
       access.#logMembership(now);
-      access.#wire.beat(now);
+      access.#wire.tick(now);
       access.#passageConnections.beat(now);
       access.#beginWarmUp(now);
     }
@@ -189,12 +189,12 @@
   }
 
   #logMembership(now: number): void {
-    const changed = this.#membershipLog.changed(now);
+    const changed = this.#membershipLog.reportIfChanged(now);
     if (changed !== undefined) this.#log.info(changed, "membership state changed");
   }
 
   #logRefusal({ status, reason }: Extract<PassageOutput, { kind: "pass-refused" }>): void {
-    const membershipState = this.#membershipLog.refused(status, monotonic());
+    const membershipState = this.#membershipLog.reportIfRejected(status, monotonicNow());
     if (membershipState !== undefined)
       this.#log.info(
         { status, reason, ...membershipState },
@@ -220,15 +220,15 @@
 
   /** Performs a planned stop: new work is routed elsewhere, and what is under way is answered within the time limit. */
   async close(): Promise<void> {
-    const startedAt = monotonic();
+    const startedAt = monotonicNow();
     const { stopWithin } = this.#core.membership.policy;
     const stop = new PlannedStop(stopTimes(stopWithin, this.#adapters.length > 0), startedAt);
     this.#plannedStop = stop;
     this.#perform(this.#core.leave(startedAt));
-    this.#gateway.leave();
+    this.#gateway.beginStop();
     for (const adapter of this.#adapters) adapter.leave();
     const isClosed = (): boolean => this.#advanceStop(stop);
-    await settled(isClosed);
+    await waitUntil(isClosed);
     const closing = [this.#gateway.close()];
     for (const adapter of this.#adapters) closing.push(adapter.close());
     await Promise.all(closing);
@@ -239,7 +239,7 @@
 
   /** Advances a planned stop. @returns whether everything is answered, or the time is over */
   #advanceStop(stop: PlannedStop): boolean {
-    const now = monotonic();
+    const now = monotonicNow();
     const previousPhase = stop.phase;
     const phase = stop.advance(now, this.#underWay);
     if (phase === previousPhase) return phase === "closed";
@@ -257,7 +257,7 @@
 
   /** Number of requests, items, calls and responses that a planned stop waits for. */
   get #underWay(): number {
-    let underWay = this.#core.busy + this.#gateway.underWay;
+    let underWay = this.#core.busy + this.#gateway.unfinishedResponses;
     for (const adapter of this.#adapters) underWay += adapter.underWay;
     return underWay;
   }
@@ -284,7 +284,7 @@
     function pass(request: PassageRequest, caller: PassCaller): string {
       const ticket = nextTicket();
       self.#passageCallers.add(ticket, caller);
-      self.#perform(self.#relay.arrive(ticket, request, monotonic()));
+      self.#perform(self.#relay.arrive(ticket, request, monotonicNow()));
       return ticket;
     }
     function startCall(
@@ -298,31 +298,32 @@
     }
     function handIn(lot: SubmittedLot, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
-        return self.#core.lots.handIn(ticket, lot, monotonic());
+        return self.#core.lots.submit(ticket, lot, monotonicNow());
       }
       return startCall(caller, start);
     }
     function readLot(call: LotCall, query: LotResultsQuery, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
-        return self.#core.lots.read(ticket, call, query, monotonic());
+        return self.#core.lots.read(ticket, call, query, monotonicNow());
       }
       return startCall(caller, start);
     }
     function readItem(call: LotCall, item: string, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
-        return self.#core.lots.item(ticket, call, item, monotonic());
+        return self.#core.lots.item(ticket, call, item, monotonicNow());
       }
       return startCall(caller, start);
     }
     function endLot(call: LotCall, caller: LotCaller): string {
       function start(ticket: string): readonly AccessOutput[] {
-        return self.#core.lots.end(ticket, call, monotonic());
+        return self.#core.lots.end(ticket, call, monotonicNow());
       }
       return startCall(caller, start);
     }
     function left(ticket: string): void {
       if (self.#lotCallers.delete(ticket)) return;
-      if (self.#passageCallers.remove(ticket)) self.#perform(self.#relay.left(ticket, monotonic()));
+      if (self.#passageCallers.remove(ticket))
+        self.#perform(self.#relay.left(ticket, monotonicNow()));
     }
     function slow(ticket: string): void {
       self.#perform(self.#relay.slow(ticket));
@@ -331,7 +332,7 @@
       self.#perform(self.#relay.ready(ticket));
     }
     function isReady(): boolean {
-      return self.#plannedStop === undefined && self.#core.membership.serves(monotonic());
+      return self.#plannedStop === undefined && self.#core.membership.serves(monotonicNow());
     }
     function limitsOfCallers(): CallerLimits {
       return callerLimits.withDefaults(self.#core.membership.configuration.value.callers);
@@ -354,15 +355,15 @@
   /** Creates the service that handles all HTTP requests of this process. */
   #createHandlers(): ServiceSchema {
     const self = this;
-    function status(arrival: Arrival): void {
+    function status(arrival: GatewayRequest): void {
       reply(arrival.reply, 200, {
-        ...self.#core.status(monotonic()),
+        ...self.#core.status(monotonicNow()),
         counts: {
           ...self.#core.counts,
           ...self.#relay.counts,
           ...self.#core.usage.counts,
           ...self.#passageConnections.counts,
-          ...countsOfWire(self.#wire),
+          ...readWireCounts(self.#wire),
         },
         violations: {
           ...invariants.counts(),
@@ -370,8 +371,8 @@
         },
       });
     }
-    async function readMetrics(arrival: Arrival): Promise<void> {
-      const { gos, live, leaseLeft } = self.#core.status(monotonic());
+    async function readMetrics(arrival: GatewayRequest): Promise<void> {
+      const { gos, live, leaseLeft } = self.#core.status(monotonicNow());
       reply(
         arrival.reply,
         200,
@@ -387,18 +388,18 @@
         }),
       );
     }
-    function startRequest(arrival: Arrival): void {
+    function startRequest(arrival: GatewayRequest): void {
       self.#perform(
         self.#core.arrive(
           self.#ticket(arrival),
           arrival.parameters["way"]!,
           arrival.body,
           undefined,
-          monotonic(),
+          monotonicNow(),
         ),
       );
     }
-    function startFetch(arrival: Arrival): void {
+    function startFetch(arrival: GatewayRequest): void {
       const way = arrival.parameters["way"]!;
       const path = arrival.path.slice(`/ways/${way}`.length);
       self.#perform(
@@ -407,15 +408,15 @@
           way,
           undefined,
           path === "" ? "/" : path,
-          monotonic(),
+          monotonicNow(),
         ),
       );
     }
-    function submitLot(arrival: Arrival): void {
+    function submitLot(arrival: GatewayRequest): void {
       const body = arrival.body as { key?: unknown; items?: unknown; labels?: unknown } | null;
       const unknownFields = Object.keys(body ?? {}).filter(isUnknownField);
       if (unknownFields.length > 0)
-        return replyTrouble(arrival.reply, 400, {
+        return replyWithError(arrival.reply, 400, {
           trouble: "bad-body",
           reason: `${unknownFields[0]}: is not a field of a lot`,
         });
@@ -426,33 +427,33 @@
           body?.key,
           body?.items,
           body?.labels,
-          monotonic(),
+          monotonicNow(),
         ),
       );
     }
-    function lookUp(arrival: Arrival): void {
+    function lookUp(arrival: GatewayRequest): void {
       self.#perform(
-        self.#core.lookUp(self.#ticket(arrival), arrival.parameters["lot"]!, monotonic()),
+        self.#core.lookUp(self.#ticket(arrival), arrival.parameters["lot"]!, monotonicNow()),
       );
     }
-    function cancel(arrival: Arrival): void {
+    function cancel(arrival: GatewayRequest): void {
       self.#perform(
-        self.#core.cancel(self.#ticket(arrival), arrival.parameters["lot"]!, monotonic()),
+        self.#core.cancel(self.#ticket(arrival), arrival.parameters["lot"]!, monotonicNow()),
       );
     }
-    function announceRunner(arrival: Arrival): void {
+    function announceRunner(arrival: GatewayRequest): void {
       const checked = announcementSchema.safeParse(arrival.body);
       if (!checked.success)
-        return replyTrouble(arrival.reply, 400, {
+        return replyWithError(arrival.reply, 400, {
           trouble: "bad-body",
           reason: explain(checked.error),
         });
-      self.#perform(self.#core.announce(self.#ticket(arrival), checked.data, monotonic()));
+      self.#perform(self.#core.announce(self.#ticket(arrival), checked.data, monotonicNow()));
     }
-    function deregister(arrival: Arrival): void {
+    function deregister(arrival: GatewayRequest): void {
       const checked = deregistrationSchema.safeParse(arrival.body);
       if (!checked.success)
-        return replyTrouble(arrival.reply, 400, {
+        return replyWithError(arrival.reply, 400, {
           trouble: "bad-body",
           reason: explain(checked.error),
         });
@@ -461,7 +462,7 @@
           self.#ticket(arrival),
           arrival.parameters["runner"]!,
           checked.data.incarnation,
-          monotonic(),
+          monotonicNow(),
         ),
       );
     }
@@ -482,7 +483,7 @@
   }
 
   /** Issues a ticket for a request, by which its response is found. */
-  #ticket(arrival: Arrival): string {
+  #ticket(arrival: GatewayRequest): string {
     this.#ticketNumber += 1;
     const ticket = `${this.#ticketPrefix}-${this.#ticketNumber}`;
     const self = this;
@@ -544,7 +545,7 @@
           this.#sendReply(output);
       }
     }
-    this.#beat.hasten();
+    this.#beat.wake();
   }
 
   /** Writes an output to the response of its caller. */
@@ -556,7 +557,7 @@
     switch (output.kind) {
       case "reply":
         this.#responses.delete(output.ticket);
-        if (output.status >= 400) replyTrouble(response, output.status, output.body as ErrorBody);
+        if (output.status >= 400) replyWithError(response, output.status, output.body as ErrorBody);
         else reply(response, output.status, output.body);
         break;
       case "reply-bytes":
--- a/packages/data/src/attempts.ts
+++ b/packages/data/src/attempts.ts
@@ -78,7 +78,7 @@
     const attempt = this.#attempts.get(number);
     if (attempt === undefined) return "given up";
     if (!this.#membership.holds(now)) return "no lease";
-    if (!this.#membership.isStanding(attempt.runner, attempt.incarnation, now))
+    if (!this.#membership.isRunnerLive(attempt.runner, attempt.incarnation, now))
       return "the runner said goodbye, or was not heard of lately";
     if (attempt.job.kind === "prompt" && now > attempt.job.grantedUntil) return "the grant ran out";
     return undefined;
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -6,7 +6,7 @@
 import { constants, type RunnerDescriptor } from "@chutewick/parts";
 import { ChoiceCounts } from "./choice-counts.js";
 import type { FleetView } from "./fleet-view.js";
-import type { Standing } from "./membership.js";
+import type { NodeIdentity } from "./membership.js";
 import type { PassageRequest } from "./dialect.js";
 
 /** The runner, with its incarnation, that an attempt is sent to. */
@@ -112,7 +112,7 @@
 export class RunnerBalancer {
   readonly counts = new ChoiceCounts();
   #fleet: FleetView;
-  #node: Standing;
+  #node: NodeIdentity;
   #lastAttempt = 0;
   #attempts = new Map<number, Attempt>();
   /** By runner and incarnation. */
@@ -128,7 +128,7 @@
   #randomState: number;
   #openConnections: (address: string) => number = noConnections;
 
-  constructor(fleet: FleetView, node: Standing) {
+  constructor(fleet: FleetView, node: NodeIdentity) {
     this.#fleet = fleet;
     this.#node = node;
     this.#randomState = (hashText(node.identity) | 1) >>> 0;
--- a/packages/data/src/control-calls.ts
+++ b/packages/data/src/control-calls.ts
@@ -30,7 +30,7 @@
   }
 
   /** Sends a request to the head; `onResult` is called once. */
-  ask(command: ControlCommand, onResult: ControlResultHandler, now: number): AccessOutput[] {
+  request(command: ControlCommand, onResult: ControlResultHandler, now: number): AccessOutput[] {
     const ticket = this.#nextTicket();
     const call: PendingControlCall = {
       command,
@@ -44,7 +44,7 @@
   }
 
   /** Handles an outcome; a request that was not executed is sent again. */
-  ended(ticket: string, outcome: ControlOutcome, now: number): AccessOutput[] {
+  handleOutcome(ticket: string, outcome: ControlOutcome, now: number): AccessOutput[] {
     const call = this.#calls.get(ticket);
     if (call === undefined) return [];
     if (outcome.kind === "not-run") {
@@ -64,7 +64,10 @@
         this.#calls.delete(ticket);
         outputs.push(...call.onResult({ kind: "unknown" }));
       } else if (this.#isRetryDue(call, now))
-        outputs.push(...this.#membership.spread(), ...this.#send(ticket, call, now));
+        outputs.push(
+          ...this.#membership.broadcastDeregistrations(),
+          ...this.#send(ticket, call, now),
+        );
     }
     return outputs;
   }
--- a/packages/data/src/feed-progress.ts
+++ b/packages/data/src/feed-progress.ts
@@ -16,7 +16,7 @@
   violations = 0;
 
   /** Records a message of a control machine at index `controlIndex` while this node is at `ownIndex`; `now` in ms, monotonic. */
-  heard(controlIndex: number, ownIndex: number, now: number): void {
+  recordHeartbeat(controlIndex: number, ownIndex: number, now: number): void {
     const hadLostContact = now - this.#lastHeartbeatAt > constants.quorumContactTimeoutMs;
     this.#lastHeartbeatAt = now;
     if (hadLostContact || (this.#awaited !== undefined && ownIndex >= this.#awaited.feedIndex))
--- a/packages/data/src/link.ts
+++ b/packages/data/src/link.ts
@@ -5,7 +5,7 @@
 import type { GoEvent, Work } from "./access-output.js";
 
 /** Opens a new connection for each attempt and never reuses it, so that no caller can get the bytes of another (docs/design.md §6.2). */
-export class Links {
+export class RunnerConnections {
   #clients = new Map<number, Client>();
   /** The reason why an attempt must not start any more; undefined if it may. */
   #mayStart: (attempt: number) => string | undefined;
--- a/packages/data/src/lot-requests.ts
+++ b/packages/data/src/lot-requests.ts
@@ -25,7 +25,7 @@
 import { findRoute } from "./routes.js";
 
 /** Components of the access node that lot requests use. */
-export interface LotRequestsParts {
+export interface LotRequestsDependencies {
   readonly membership: Membership;
   readonly admission: Admission;
   readonly pendingCalls: PendingCalls;
@@ -49,7 +49,7 @@
   /** Wall clock time in ms; used only to tell callers when a season opens capacity. */
   #wallClock = 0;
 
-  constructor({ membership, admission, pendingCalls, counts }: LotRequestsParts) {
+  constructor({ membership, admission, pendingCalls, counts }: LotRequestsDependencies) {
     this.#membership = membership;
     this.#admission = admission;
     this.#pendingCalls = pendingCalls;
@@ -60,7 +60,7 @@
     this.#wallClock = wallClock;
   }
 
-  handIn(submission: LotSubmission, now: number): AccessOutput[] {
+  submit(submission: LotSubmission, now: number): AccessOutput[] {
     const { ticket, routeName } = submission;
     const { value } = this.#membership.configuration;
     if (!this.#admission.isOpen(now)) return [this.#notRun(ticket, NO_NEW_WORK)];
--- a/packages/data/src/membership-log.ts
+++ b/packages/data/src/membership-log.ts
@@ -1,5 +1,5 @@
 /** Log lines on the membership state of a node, so that a wrong answer can be traced to what the node knew (docs/design.md §7). */
-import type { Membership, MembershipReport, WorkGround } from "./membership.js";
+import type { Membership, MembershipReport, WorkAuthorization } from "./membership.js";
 
 /** Log lines on definite rejections per second; more of them add no information. */
 const MAX_REJECTIONS_LOGGED = 3;
@@ -11,7 +11,7 @@
 export class MembershipLog {
   readonly #membership: Membership;
   #loggedVersion: number | undefined;
-  #loggedGround: WorkGround | undefined;
+  #loggedGround: WorkAuthorization | undefined;
   #secondStartedAt = Number.NEGATIVE_INFINITY;
   #rejectionCount = 0;
 
@@ -20,7 +20,7 @@
   }
 
   /** The membership state, if the version or the authorization changed since the last call. */
-  changed(now: number): MembershipReport | undefined {
+  reportIfChanged(now: number): MembershipReport | undefined {
     const version = this.#membership.configuration.mark;
     const ground = this.#membership.ground(now);
     if (version === this.#loggedVersion && ground === this.#loggedGround) return undefined;
@@ -30,7 +30,7 @@
   }
 
   /** The membership state on which a rejection is based; undefined if the status is not a definite one, or enough were logged. */
-  refused(status: number, now: number): MembershipReport | undefined {
+  reportIfRejected(status: number, now: number): MembershipReport | undefined {
     if (!DEFINITE_STATUSES.has(status)) return undefined;
     if (now - this.#secondStartedAt >= SECOND_MS) {
       this.#secondStartedAt = now;
--- a/packages/data/src/membership.ts
+++ b/packages/data/src/membership.ts
@@ -23,15 +23,15 @@
   type FleetRecord,
   type Deregistration,
   type LeaseMessage,
-  type MarkedConfiguration,
+  type VersionedConfiguration,
 } from "@chutewick/control";
 
 import { FeedProgress } from "./feed-progress.js";
 import { heartbeatInterval } from "./heartbeat-interval.js";
-import { RecentAsks } from "./recent-asks.js";
+import { SentRequests } from "./recent-asks.js";
 
 /** Identity and addresses of a node of the data plane. */
-export interface Standing {
+export interface NodeIdentity {
   readonly identity: string;
   readonly address: string;
   readonly kind: "access" | "storage";
@@ -49,7 +49,7 @@
 }
 
 /** What entitles a node to accept new work and to give definite answers: its lease, a permit of its peers, or nothing. */
-export type WorkGround = "lease" | "permit" | "none";
+export type WorkAuthorization = "lease" | "permit" | "none";
 
 /** Membership state of a node at one moment, for the log. */
 export interface MembershipReport {
@@ -58,7 +58,7 @@
   /** Feed index: the last entry of the feed that the node has applied. */
   readonly place: number;
   /** What entitles the node to accept new work. */
-  readonly ground: WorkGround;
+  readonly ground: WorkAuthorization;
   /** Epoch of the newest view of the control group that the node knows. */
   readonly view: number | undefined;
   /** Control machines whose leases are valid. */
@@ -75,7 +75,7 @@
   readonly follower = new Follower();
   readonly feedProgress = new FeedProgress();
   #lease = new Lease();
-  #node: Standing;
+  #node: NodeIdentity;
   #controls: Set<string>;
   #seeds: readonly string[];
   #registry: RunnerRegistry = { nodes: [], runners: [] };
@@ -85,9 +85,9 @@
   /** When the last heartbeat was sent that a control machine answered, by its identity; in ms, monotonic. */
   #answeredAt = new Map<string, number>();
   /** Heartbeats sent to control. */
-  readonly #sentHeartbeats = new RecentAsks();
+  readonly #sentHeartbeats = new SentRequests();
   /** Requests for permits sent to peers. */
-  readonly #sentPermitRequests = new RecentAsks();
+  readonly #sentPermitRequests = new SentRequests();
   /** Newest report of each runner that did not come with the registry of control. */
   #reportedRunners = new Map<string, { card: RunnerDescriptor; heardAt: number }>();
   #permitRequestedAt = Number.NEGATIVE_INFINITY;
@@ -108,7 +108,7 @@
   #policy: Policy;
 
   constructor(
-    node: Standing,
+    node: NodeIdentity,
     seeds: readonly string[],
     now: number,
     createReport: () => NodeReport,
@@ -137,7 +137,7 @@
     return this.#node.zone;
   }
   /** When the last heartbeats were sent; in ms, monotonic. */
-  get toldAt(): number {
+  get heartbeatSentAt(): number {
     return this.#heartbeatSentAt;
   }
   /** The newest registry of nodes and runners from control. */
@@ -145,7 +145,7 @@
     return this.#registry;
   }
   /** The configuration from the feed, with its version. */
-  get configuration(): MarkedConfiguration {
+  get configuration(): VersionedConfiguration {
     return configurationIn(this.follower);
   }
   /** Address of the head of the control group, which accepts changes; undefined while no view is known. */
@@ -156,13 +156,13 @@
   /** Announces that this node is leaving, so that control transfers its work to other nodes. */
   leave(now: number): Send[] {
     this.#isLeaving = true;
-    return this.tell(now);
+    return this.sendHeartbeats(now);
   }
 
   /** Takes back the announcement that this node is leaving. */
-  stay(now: number): Send[] {
+  cancelLeave(now: number): Send[] {
     this.#isLeaving = false;
-    return this.tell(now);
+    return this.sendHeartbeats(now);
   }
 
   /** Whether the node may accept new work now: it holds a lease or a permit. */
@@ -189,7 +189,7 @@
   }
 
   /** What entitles the node to accept new work now. */
-  ground(now: number): WorkGround {
+  ground(now: number): WorkAuthorization {
     if (!this.holds(now)) return "none";
     return this.#lease.isValid(now, this.follower.place) ? "lease" : "permit";
   }
@@ -208,7 +208,7 @@
   }
 
   /** Whether a majority of the control group answered recent heartbeats; true while no view is known. */
-  isNear(now: number): boolean {
+  hasQuorumContact(now: number): boolean {
     const view = this.#lease.view;
     if (view === undefined) return true;
     let answered = 0;
@@ -228,9 +228,9 @@
   }
 
   /** Handles a permit request or a reply from a peer while control is unreachable (docs/design.md §7.4). */
-  peer(message: PeerMessage, from: string, now: number): Send[] {
+  receiveFromPeer(message: PeerMessage, from: string, now: number): Send[] {
     if (message.kind === "fellow-ask") {
-      const promises = !this.#policy.goesOnAlone && this.#hadLease && !this.isNear(now);
+      const promises = !this.#policy.goesOnAlone && this.#hadLease && !this.hasQuorumContact(now);
       if (promises) this.#promisedUntil = now + constants.permitDurationMs;
       return [
         {
@@ -249,8 +249,8 @@
     }
     // The reply was sent after the request, so its ages count from the request at the latest.
     if (this.#sentPermitRequests.includes(message.askedAt))
-      for (const card of message.runners) this.heardRunner(card, message.askedAt - card.age);
-    for (const [runner, incarnation] of message.closed) this.close(runner, incarnation);
+      for (const card of message.runners) this.recordRunnerReport(card, message.askedAt - card.age);
+    for (const [runner, incarnation] of message.closed) this.deregister(runner, incarnation);
     if (message.askedAt !== this.#permitRequestedAt || !message.promises) return [];
     // A peer with a higher feed index shows that a change was committed that this node has not received.
     if (message.place > this.follower.place) {
@@ -274,9 +274,9 @@
   }
 
   /** Sends the deregistrations that came here to all nodes at once, before control has committed them (docs/design.md §7.5). */
-  spread(): Send[] {
+  broadcastDeregistrations(): Send[] {
     const recipients = new Set<string>(this.#peers);
-    for (const card of this.live("access")) recipients.add(card.address);
+    for (const card of this.liveNodes("access")) recipients.add(card.address);
     recipients.delete(this.address);
     const sends: Send[] = [];
     for (const to of recipients)
@@ -300,14 +300,14 @@
     if (this.#policy.goesOnAlone) return [];
     const peers = this.#peers;
     if (
-      this.isNear(now) ||
+      this.hasQuorumContact(now) ||
       !this.#hadLease ||
       !peers.includes(this.address) ||
       now - this.#permitRequestedAt < constants.heartbeatIntervalMs
     )
       return [];
     this.#permitRequestedAt = now;
-    this.#sentPermitRequests.asked(now);
+    this.#sentPermitRequests.recordSent(now);
     this.#promisedUntil = now + constants.permitDurationMs;
     this.#promisingPeers = new Set([this.address]);
     const sends: Send[] = [];
@@ -322,7 +322,7 @@
   }
 
   /** Remaining duration of the lease in ms. */
-  leaseLeft(now: number): number {
+  remainingLeaseMs(now: number): number {
     return Math.max(0, this.#lease.expiresAt(this.follower.place) - now);
   }
 
@@ -331,26 +331,26 @@
     return (
       incarnation <=
       Math.max(
-        this.follower.read<Deregistration>(keys.goodbyeKey(runner))?.incarnation ?? 0,
+        this.follower.read<Deregistration>(keys.deregistrationKey(runner))?.incarnation ?? 0,
         this.#closedHere.get(runner) ?? 0,
       )
     );
   }
 
   /** Applies a deregistration on this node at once, before control has committed it. */
-  close(runner: string, incarnation: number): void {
+  deregister(runner: string, incarnation: number): void {
     this.#closedHere.set(runner, Math.max(incarnation, this.#closedHere.get(runner) ?? 0));
   }
 
   /** Records a report of a runner that did not come with the registry of control. */
-  heardRunner(card: RunnerDescriptor, heardAt: number): void {
+  recordRunnerReport(card: RunnerDescriptor, heardAt: number): void {
     const held = this.#reportedRunners.get(card.id);
     if (held === undefined || isNewerReport(card, heardAt, held.card, held.heardAt))
       this.#reportedRunners.set(card.id, { card, heardAt });
   }
 
   /** Whether an incarnation of a runner has a recent report and is not deregistered; checked again before the first byte is sent. */
-  isStanding(runner: string, incarnation: number, now: number): boolean {
+  isRunnerLive(runner: string, incarnation: number, now: number): boolean {
     const held = this.#newestReport(runner, now);
     return (
       held !== undefined &&
@@ -381,7 +381,7 @@
    * it knew: those that went since are unreachable, or answer that they are another incarnation (docs/design.md §13.4).
    */
   #runnerTimeoutMs(now: number): number {
-    const isIsolated = this.#policy.goesOnAlone && !this.isNear(now);
+    const isIsolated = this.#policy.goesOnAlone && !this.hasQuorumContact(now);
     return isIsolated ? this.#runnerRetentionMs : this.#policy.runnerLasts;
   }
 
@@ -405,7 +405,7 @@
   }
 
   /** The nodes of a kind that are in session and not leaving. */
-  live(kind: NodeDescriptor["kind"]): NodeDescriptor[] {
+  liveNodes(kind: NodeDescriptor["kind"]): NodeDescriptor[] {
     const live: NodeDescriptor[] = [];
     for (const { card, age } of this.#registry.nodes)
       if (card.kind === kind && !card.leaving && age <= constants.sessionTimeoutMs) live.push(card);
@@ -418,7 +418,7 @@
       return this.follower.receive(message);
     // New reports of runners. Their ages count from now: control commits a deregistration before it reports it (docs/design.md §13.8).
     if (message.kind === "runners")
-      for (const card of message.runners) this.heardRunner(card, now - card.age);
+      for (const card of message.runners) this.recordRunnerReport(card, now - card.age);
     // This is no evidence of contact: the sender does not receive this node's heartbeats.
     if (message.kind === "controls")
       for (const address of message.addresses) this.#controls.add(address);
@@ -428,7 +428,7 @@
 
   /** Handles an answer of control to a heartbeat: a lease, the registry and the addresses of control. */
   #receiveLease(message: LeaseMessage, from: string, now: number): void {
-    this.feedProgress.heard(message.place, this.follower.place, now);
+    this.feedProgress.recordHeartbeat(message.place, this.follower.place, now);
     this.#learnControls(message);
     const { identity, view, place, roll, stamp } = message;
     const answered = message.answers ?? message.askedAt;
@@ -478,9 +478,9 @@
   }
 
   /** Sends a heartbeat with the state of this node to each known control machine. */
-  tell(now: number): Send[] {
+  sendHeartbeats(now: number): Send[] {
     this.#heartbeatSentAt = now;
-    this.#sentHeartbeats.asked(now);
+    this.#sentHeartbeats.recordSent(now);
     const card: NodeDescriptor = {
       ...this.#node,
       place: this.follower.place,
@@ -505,13 +505,13 @@
   }
 
   /** Sends what is due: heartbeats to control and permit requests to peers. */
-  beat(now: number): Send[] {
+  tick(now: number): Send[] {
     const permitRequests = this.#requestPermit(now);
     // Control is informed as soon as a promise has ended.
     const promiseEnded = this.#heartbeatSentAt < this.#promisedUntil && now >= this.#promisedUntil;
     return now - this.#heartbeatSentAt >= heartbeatInterval(this.#registry.nodes.length) ||
       promiseEnded
-      ? [...permitRequests, ...this.tell(now)]
+      ? [...permitRequests, ...this.sendHeartbeats(now)]
       : permitRequests;
   }
 }
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -118,7 +118,7 @@
     const passage = this.#passage(job.task.way);
     if (passage === undefined || !configuration.poolsOf(passage).includes(pool))
       return "its passage was removed, or no longer uses this pool";
-    if (!this.#membership.isStanding(runner, incarnation, now))
+    if (!this.#membership.isRunnerLive(runner, incarnation, now))
       return "the runner has deregistered, or its heartbeats are overdue";
     return undefined;
   }
--- a/packages/data/src/pass-lots.ts
+++ b/packages/data/src/pass-lots.ts
@@ -15,7 +15,7 @@
 import type { RelayCore } from "./relay-core.js";
 
 /** Submits lots, reads their results and ends them; `dispatcher` runs their items. */
-export class PassLots {
+export class PassageLots {
   readonly dispatcher: ItemDispatcher;
   #membership: Membership;
   #pendingCalls: PendingCalls;
@@ -37,7 +37,7 @@
     this.dispatcher = new ItemDispatcher(membership, choice, pendingCalls);
   }
 
-  handIn(ticket: string, submission: SubmittedLot, now: number): AccessOutput[] {
+  submit(ticket: string, submission: SubmittedLot, now: number): AccessOutput[] {
     if (this.#isStopping || !this.#membership.holds(now))
       return [lotReply(ticket, refusedTemporarily(NO_NEW_WORK))];
     const found = this.#relay.passages.find(submission.host, submission.path);
@@ -120,16 +120,16 @@
     return this.dispatcher.mayStart(attempt, now);
   }
 
-  goEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
+  handleAttemptEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
     return this.dispatcher.handleAttemptEvent(attempt, event, now);
   }
 
   /** Handles the notice of a queue owner that a lot has ended. */
-  dropped(lot: string, now: number): AccessOutput[] {
+  handleLotEnded(lot: string, now: number): AccessOutput[] {
     return this.dispatcher.dropLot(lot, now);
   }
 
-  beat(now: number): AccessOutput[] {
+  tick(now: number): AccessOutput[] {
     return this.dispatcher.tick(now);
   }
 
--- a/packages/data/src/prompt-dispatcher.ts
+++ b/packages/data/src/prompt-dispatcher.ts
@@ -46,7 +46,7 @@
 type DequeuedPrompt = Extract<QueueResult, { kind: "TAKEN" }>;
 
 /** Components of the access node that the dispatcher uses. */
-export interface PromptDispatcherParts {
+export interface PromptDispatcherDependencies {
   readonly membership: Membership;
   readonly admission: Admission;
   readonly attempts: Attempts;
@@ -66,7 +66,7 @@
   #dispatches = new Map<string, QueueDispatch>();
   #heartbeatAt = 0;
 
-  constructor(parts: PromptDispatcherParts) {
+  constructor(parts: PromptDispatcherDependencies) {
     this.#membership = parts.membership;
     this.#admission = parts.admission;
     this.#attempts = parts.attempts;
@@ -75,7 +75,7 @@
     this.#counts = parts.counts;
   }
 
-  beat(now: number): AccessOutput[] {
+  tick(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     if (now - this.#heartbeatAt >= constants.promptHeartbeatIntervalMs) {
       this.#heartbeatAt = now;
@@ -86,12 +86,12 @@
   }
 
   /** Clears all backoffs after a change of limits, since they were computed from the previous ones. */
-  endPauses(): void {
+  clearBackoffs(): void {
     for (const dispatch of this.#dispatches.values()) dispatch.resumeAt = 0;
   }
 
   /** Handles the result of a call that already timed out: a prompt granted too late is returned to its queue at once, with its rate-limit token. */
-  lateResult(outcome: QueueOutcome, now: number): AccessOutput[] {
+  handleLateResult(outcome: QueueOutcome, now: number): AccessOutput[] {
     if (outcome.kind !== "confirmed" || outcome.value.kind !== "TAKEN") return [];
     const { lot, index, go } = outcome.value;
     const command: QueueCommand = { kind: "record", lot, index, go, ending: { kind: "unsent" } };
@@ -101,7 +101,12 @@
   }
 
   /** Handles an event that the connection to a runner reports for an attempt of a prompt. */
-  attemptEvent(attempt: number, prompt: DrawnPrompt, event: GoEvent, now: number): AccessOutput[] {
+  handleAttemptEvent(
+    attempt: number,
+    prompt: DrawnPrompt,
+    event: GoEvent,
+    now: number,
+  ): AccessOutput[] {
     switch (event.kind) {
       case "opened":
         return [];
@@ -131,7 +136,7 @@
   #dequeueFromQueues(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     const accessNodes: string[] = [];
-    for (const node of this.#membership.live("access")) accessNodes.push(node.identity);
+    for (const node of this.#membership.liveNodes("access")) accessNodes.push(node.identity);
     for (const [key] of this.#membership.follower.under<ChainView>(keys.queue)) {
       const queue = key.slice(keys.queue.length);
       if (configuration.isPoolQueue(queue)) continue;
--- a/packages/data/src/recent-asks.ts
+++ b/packages/data/src/recent-asks.ts
@@ -5,11 +5,11 @@
  * Times of the requests that this incarnation of a node sent recently. The monotonic clock restarts with each incarnation, so the request
  * time that an answer names is valid only if it is one of these.
  */
-export class RecentAsks {
+export class SentRequests {
   #requestTimes: number[] = [];
 
   /** Records a request sent at `now`, in ms. */
-  asked(now: number): void {
+  recordSent(now: number): void {
     this.#requestTimes = this.#requestTimes.filter(
       (time) => now - time <= constants.sessionTimeoutMs,
     );
--- a/packages/data/src/relay-core.ts
+++ b/packages/data/src/relay-core.ts
@@ -412,7 +412,7 @@
   #countStart(live: RelayedRequest, window: number | undefined): void {
     if (live.isCounted || live.tenant === undefined || window === undefined) return;
     live.isCounted = true;
-    this.#usage?.began(live.tenant, window);
+    this.#usage?.recordStart(live.tenant, window);
   }
 
   #handleEvent(
--- a/packages/data/src/runner-registrations.ts
+++ b/packages/data/src/runner-registrations.ts
@@ -49,7 +49,7 @@
       return [announceElsewhere(ticket)];
     const card: RunnerDescriptor = { ...announced, age: 0 };
     this.#announcements.set(card.id, { card, heardAt: now });
-    this.#membership.heardRunner({ ...card }, now);
+    this.#membership.recordRunnerReport({ ...card }, now);
     // Without a lease this node cannot report the runner to the control group, so the runner has to announce at another node, too.
     if (!this.#admission.isOpen(now)) return [announceElsewhere(ticket)];
     const body = { announceEvery: constants.announceIntervalMs };
@@ -75,7 +75,7 @@
 
   /** Deregisters a runner. It gets a success reply only once the control group has committed that no node sends it new work. */
   deregister(ticket: string, runner: string, incarnation: number, now: number): AccessOutput[] {
-    this.#membership.close(runner, incarnation);
+    this.#membership.deregister(runner, incarnation);
     const announcedIncarnation = this.#announcements.get(runner)?.card.incarnation;
     if (announcedIncarnation !== undefined && announcedIncarnation <= incarnation)
       this.#announcements.delete(runner);
@@ -92,7 +92,10 @@
       ];
     }
     const command = { kind: "goodbye", runner, incarnation } as const;
-    return [...this.#membership.spread(), ...this.#controlCalls.ask(command, onResult, now)];
+    return [
+      ...this.#membership.broadcastDeregistrations(),
+      ...this.#controlCalls.request(command, onResult, now),
+    ];
   }
 
   /** Removes the runners whose last announcement is too old. */
--- a/packages/data/src/storage-core.ts
+++ b/packages/data/src/storage-core.ts
@@ -23,7 +23,7 @@
 } from "@chutewick/parts";
 import { keys, quotaClasses, type QueueQuota } from "@chutewick/control";
 import { ClaimHeartbeats } from "./claim-heartbeats.js";
-import { Membership, type Standing } from "./membership.js";
+import { Membership, type NodeIdentity } from "./membership.js";
 import { applyConfiguration, requiresLease, type CheckedCommand } from "./queue-governance.js";
 import type { DataMessage, QueueOutcome } from "./queue-messages.js";
 import { QueueRefusals } from "./queue-refusals.js";
@@ -95,7 +95,7 @@
 /** The queues of one storage machine and its membership in the fleet. */
 export class StorageCore {
   readonly membership: Membership;
-  #node: Standing;
+  #node: NodeIdentity;
   #partitions = new Map<string, Partition>();
   #pendingCommands = new Map<string, PendingCommand>();
   #ticketNumber = 0;
@@ -103,7 +103,7 @@
   #isStopping = false;
 
   constructor(
-    node: Standing,
+    node: NodeIdentity,
     seeds: readonly string[],
     persistedChains: ReadonlyMap<string, PersistedChain>,
     now: number,
@@ -186,7 +186,7 @@
       case "feed":
       case "feed-digest": {
         if (!this.membership.receive(message, from, now)) return [];
-        return [...this.#adoptViews(now), ...this.membership.tell(now)];
+        return [...this.#adoptViews(now), ...this.membership.sendHeartbeats(now)];
       }
       case "lease":
       case "controls":
@@ -194,7 +194,7 @@
         return [];
       case "fellow-ask":
       case "fellow-tell":
-        return this.membership.peer(message, from, now);
+        return this.membership.receiveFromPeer(message, from, now);
       case "queue-inquiry":
         return this.#handleCommand(
           message.ticket,
@@ -482,7 +482,7 @@
   }
 
   /** Periodic work: timeouts, held commands, the owner's checks and heartbeats. */
-  beat(now: number): StorageOutput[] {
+  tick(now: number): StorageOutput[] {
     this.#now = now;
     const outputs: StorageOutput[] = [];
     for (const partition of this.#partitions.values()) {
@@ -490,7 +490,7 @@
       outputs.push(...this.#answerHeldCommands(partition, now));
       if (partition.chain.serves) outputs.push(...this.#runOwnerChecks(partition, now));
     }
-    outputs.push(...this.membership.beat(now));
+    outputs.push(...this.membership.tick(now));
     return outputs;
   }
 
@@ -624,7 +624,7 @@
   diskChanged(condition: DiskCondition, now: number): StorageOutput[] {
     this.#disk = condition;
     if (this.#isStopping) return [];
-    return this.#isWritable ? this.membership.stay(now) : this.membership.leave(now);
+    return this.#isWritable ? this.membership.cancelLeave(now) : this.membership.leave(now);
   }
 
   get #isWritable(): boolean {
@@ -638,7 +638,7 @@
   }
 
   /** Number of queues whose chain this machine is still a member of. */
-  get held(): number {
+  get memberQueueCount(): number {
     let count = 0;
     for (const { chain } of this.#partitions.values()) if (chain.position >= 0) count += 1;
     return count;
@@ -663,7 +663,7 @@
       identity: this.#node.identity,
       zone: this.#node.zone,
       place: this.membership.follower.place,
-      leaseLeft: Math.round(this.membership.leaseLeft(now)),
+      leaseLeft: Math.round(this.membership.remainingLeaseMs(now)),
       disk: this.#disk,
       queues,
     };
--- a/packages/data/src/storage-service.ts
+++ b/packages/data/src/storage-service.ts
@@ -1,19 +1,19 @@
 /** The process of a storage machine. */
 import {
-  Beat,
-  countsOfWire,
+  Ticker,
+  readWireCounts,
   createWire,
   Gateway,
   invariants,
   listen,
   metrics,
-  monotonic,
+  monotonicNow,
   openDataFolder,
-  operatorOpenings,
+  operatorRoutes,
   reply,
   settings as configured,
-  settled,
-  type Arrival,
+  waitUntil,
+  type GatewayRequest,
   type Disk,
   type Log,
   type Settings,
@@ -37,18 +37,18 @@
   #disk: Disk;
   #wire: Wire;
   #gateway: Gateway;
-  #timer = new Beat();
+  #timer = new Ticker();
 
   private constructor(settings: Settings, log: Log, disk: Disk) {
     this.#log = log;
     this.#disk = disk;
     const self = this;
     function receive(message: unknown, from: string): void {
-      self.#perform(self.#core.receive(message as DataMessage, from, monotonic()));
+      self.#perform(self.#core.receive(message as DataMessage, from, monotonicNow()));
     }
     const persistedChains = new Map<string, PersistedChain>();
     for (const chain of disk.chains()) persistedChains.set(chain, disk.holding(chain)!);
-    disk.forgetFound();
+    disk.releasePersistedState();
     this.#core = new StorageCore(
       {
         identity: disk.identity,
@@ -60,7 +60,7 @@
       },
       settings.seeds,
       persistedChains,
-      monotonic(),
+      monotonicNow(),
       configured.policyOf(settings),
     );
     this.#wire = createWire(settings, log, receive);
@@ -68,7 +68,7 @@
       address: settings.http,
       log,
       owners: [this.#operatorService()],
-      openings: operatorOpenings,
+      routes: operatorRoutes,
     });
   }
 
@@ -86,9 +86,9 @@
     const failure = await listen(storageProcess.#wire, storageProcess.#gateway);
     if (failure !== undefined) return outcome.failure(failure);
     function tick(now: number): void {
-      dataFolder.beat(now);
-      storageProcess.#perform(storageProcess.#core.beat(now));
-      storageProcess.#wire.beat(now);
+      dataFolder.tick(now);
+      storageProcess.#perform(storageProcess.#core.tick(now));
+      storageProcess.#wire.tick(now);
     }
     storageProcess.#timer.start(tick);
     log.info({ identity: disk.value.identity, wire: settings.wire }, "storage machine is up");
@@ -97,19 +97,19 @@
 
   /** Passes a change of the disk's condition to the core. */
   changeDisk(condition: DiskCondition): void {
-    this.#perform(this.#core.diskChanged(condition, monotonic()));
+    this.#perform(this.#core.diskChanged(condition, monotonicNow()));
   }
 
   /** Planned stop: first transfers the queues to other machines, within a bound of time, then closes everything. */
   async close(): Promise<void> {
-    const { held } = this.#core;
-    this.#perform(this.#core.leave(monotonic()));
+    const { memberQueueCount: held } = this.#core;
+    this.#perform(this.#core.leave(monotonicNow()));
     const self = this;
-    const deadline = monotonic() + constants.handOverTimeoutMs;
+    const deadline = monotonicNow() + constants.handOverTimeoutMs;
     function isHandoverDone(): boolean {
-      return self.#core.held === 0 || monotonic() > deadline;
+      return self.#core.memberQueueCount === 0 || monotonicNow() > deadline;
     }
-    if (held > 0) await settled(isHandoverDone);
+    if (held > 0) await waitUntil(isHandoverDone);
     await this.#gateway.close();
     this.#timer.stop();
     this.#wire.close();
@@ -119,12 +119,12 @@
   /** Answers the requests of operators for status and metrics. */
   #operatorService(): ServiceSchema {
     const self = this;
-    function writeStatus(arrival: Arrival): void {
+    function writeStatus(arrival: GatewayRequest): void {
       reply(arrival.reply, 200, {
-        ...self.#core.status(monotonic()),
+        ...self.#core.status(monotonicNow()),
         counts: {
           syncs: self.#disk.syncs,
-          ...countsOfWire(self.#wire),
+          ...readWireCounts(self.#wire),
         },
         violations: {
           ...invariants.counts(),
@@ -132,8 +132,8 @@
         },
       });
     }
-    async function writeMetrics(arrival: Arrival): Promise<void> {
-      const { queues } = self.#core.status(monotonic());
+    async function writeMetrics(arrival: GatewayRequest): Promise<void> {
+      const { queues } = self.#core.status(monotonicNow());
       reply(
         arrival.reply,
         200,
@@ -166,7 +166,7 @@
         case "write": {
           const { chain, ticket } = output;
           function onDurable(): void {
-            self.#perform(self.#core.written(chain, ticket, monotonic()));
+            self.#perform(self.#core.written(chain, ticket, monotonicNow()));
           }
           this.#disk.writeChain(chain, output.write, onDurable);
           break;
--- a/packages/data/src/usage/access-usage.ts
+++ b/packages/data/src/usage/access-usage.ts
@@ -25,8 +25,8 @@
     return { usageCounted: this.counter.changes, usageTold: this.#reports.told };
   }
 
-  heardLease(from: string, message: LeaseMessage, now: number): void {
-    this.#reports.heard(from, message, now);
+  recordLease(from: string, message: LeaseMessage, now: number): void {
+    this.#reports.recordLease(from, message, now);
     const { identity: source, wall, askedAt } = message;
     if (wall !== undefined) this.time.recordReading({ source, wall, late: now - askedAt }, now);
   }
@@ -36,9 +36,9 @@
     this.#reports.taken(from, message);
   }
 
-  beat(now: number, wall: number, areHeartbeatsSent: boolean): Send[] {
+  tick(now: number, wall: number, areHeartbeatsSent: boolean): Send[] {
     this.time.readOwnClock(wall, now);
     if (areHeartbeatsSent) this.counter.forget(now);
-    return this.#reports.beat(now, areHeartbeatsSent);
+    return this.#reports.tick(now, areHeartbeatsSent);
   }
 }
--- a/packages/data/src/usage/usage-counter.ts
+++ b/packages/data/src/usage/usage-counter.ts
@@ -42,7 +42,7 @@
   }
 
   /** Counts a request of a tenant in the window in which it started; later clock changes do not move it to another one. */
-  began(tenant: string, window: number): void {
+  recordStart(tenant: string, window: number): void {
     this.#changes += 1;
     let counted = this.#windows.get(window);
     if (counted === undefined) {
--- a/packages/data/src/usage/usage-reports.ts
+++ b/packages/data/src/usage/usage-reports.ts
@@ -36,7 +36,7 @@
   }
 
   /** Records a lease message of a control machine; a new incarnation starts without any counts, so all are sent again. */
-  heard(from: string, { stamp }: LeaseMessage, now: number): void {
+  recordLease(from: string, { stamp }: LeaseMessage, now: number): void {
     if (stamp === undefined) return;
     const progress = this.#controls.get(from);
     if (progress?.life === stamp.life) progress.heardAt = now;
@@ -57,7 +57,7 @@
   }
 
   /** Reports new counts together with the heartbeats, or on their own once the reporting interval has passed. */
-  beat(now: number, areHeartbeatsSent: boolean): Send[] {
+  tick(now: number, areHeartbeatsSent: boolean): Send[] {
     const sends: Send[] = [];
     for (const [to, progress] of this.#controls) {
       if (now - progress.heardAt > constants.sessionTimeoutMs) this.#controls.delete(to);
--- a/packages/data/src/warm-up/sample-fleet.ts
+++ b/packages/data/src/warm-up/sample-fleet.ts
@@ -1,7 +1,7 @@
 /** The fleet of a warm-up: one pool of runners at loopback addresses and one streaming passage to it. */
 import {
   configuration,
-  type MarkedConfiguration,
+  type VersionedConfiguration,
   type Passage,
   type Pool,
 } from "@chutewick/control";
@@ -37,7 +37,7 @@
   waitingTokens: 0,
 };
 
-function sampleConfiguration(): MarkedConfiguration {
+function sampleConfiguration(): VersionedConfiguration {
   const { blank } = configuration;
   const value = { ...blank.value, pools: { [POOL]: pool }, passages: { [POOL]: passage } };
   return { ...blank, value };
--- a/packages/data/src/warm-up/warm-up-sample.ts
+++ b/packages/data/src/warm-up/warm-up-sample.ts
@@ -3,7 +3,7 @@
 import type { AccessFront } from "../access-desk.js";
 
 /** An access adapter that exposes its listening address. */
-export interface SampleFront extends AccessFront {
+export interface SampleAdapter extends AccessFront {
   /** Listening address for callers, as host:port. */
   readonly address: string;
 }
@@ -11,7 +11,7 @@
 /** Sample messages of one interface. */
 export interface WarmUpSample {
   /** @param address host:port; port 0 selects a free one */
-  front(address: string): SampleFront;
+  accessAdapter(address: string): SampleAdapter;
   /** Headers of a caller's streaming request, without host and length. */
   requestHeaders(number: number): Readonly<Record<string, string>>;
   /** Headers of a runner's response to a request with the given headers. */
--- a/packages/data/src/warm-up/warm-up.ts
+++ b/packages/data/src/warm-up/warm-up.ts
@@ -5,19 +5,19 @@
  */
 import { setTimeout as pause } from "node:timers/promises";
 import { callerLimits, policy } from "@chutewick/parts";
-import { monotonic } from "@chutewick/shell";
+import { monotonicNow } from "@chutewick/shell";
 import type { AccessDesk, PassCaller } from "../access-desk.js";
 import { isForCaller, PassCallers } from "../caller-delivery.js";
 import { RunnerBalancer } from "../choice.js";
 import type { PassageEvent, PassageRequest, RunnerProtocol } from "../dialect.js";
-import type { Standing } from "../membership.js";
+import type { NodeIdentity } from "../membership.js";
 import { PassConnections } from "../pass-link.js";
 import type { PassageOutput } from "../pass.js";
 import { RelayCore } from "../relay-core.js";
 import { callOnce } from "./sample-caller.js";
 import { SampleFleet } from "./sample-fleet.js";
 import { SampleRunner } from "./sample-runner.js";
-import type { SampleFront, WarmUpSample } from "./warm-up-sample.js";
+import type { SampleAdapter, WarmUpSample } from "./warm-up-sample.js";
 
 const LOOPBACK_FREE_PORT = "127.0.0.1:0";
 
@@ -32,7 +32,7 @@
 /** Pause between two calls, so that the node's own messages are not delayed. */
 const PAUSE_MS = 2;
 
-const nodeIdentity: Standing = {
+const nodeIdentity: NodeIdentity = {
   identity: "warm-up",
   address: LOOPBACK_FREE_PORT,
   kind: "access",
@@ -67,7 +67,7 @@
 
   /** @param isWanted checked before each call; the warm-up ends once it returns false */
   async run(isWanted: () => boolean): Promise<WarmUpResult> {
-    const adapter = this.#sample.front(LOOPBACK_FREE_PORT);
+    const adapter = this.#sample.accessAdapter(LOOPBACK_FREE_PORT);
     const connections = await this.#openPath(adapter);
     const result = await this.#runCalls(adapter, isWanted);
     connections.close();
@@ -76,15 +76,15 @@
     return result;
   }
 
-  async #runCalls(adapter: SampleFront, isWanted: () => boolean): Promise<WarmUpResult> {
+  async #runCalls(adapter: SampleAdapter, isWanted: () => boolean): Promise<WarmUpResult> {
     let calls = 0;
     let answered = 0;
     let first = 0;
     let last = 0;
     while (calls < MAX_CALLS && isWanted()) {
-      const startedAt = monotonic();
+      const startedAt = monotonicNow();
       if (await callOnce(adapter.address, this.#sample, calls)) answered += 1;
-      last = monotonic() - startedAt;
+      last = monotonicNow() - startedAt;
       if (calls === 0) first = last;
       calls += 1;
       await pause(PAUSE_MS);
@@ -93,7 +93,7 @@
   }
 
   /** Assembles adapter, relay, balancer, connections and runners as an access process does. */
-  async #openPath(adapter: SampleFront): Promise<PassConnections> {
+  async #openPath(adapter: SampleAdapter): Promise<PassConnections> {
     const addresses: string[] = [];
     for (let index = 0; index < RUNNER_COUNT; index += 1) {
       const runner = new SampleRunner(this.#sample);
@@ -108,11 +108,11 @@
     };
     const connections = new PassConnections({
       dialect: this.#protocol,
-      mayStart: (attempt: number) => relay.mayStart(attempt, monotonic()),
+      mayStart: (attempt: number) => relay.mayStart(attempt, monotonicNow()),
       told: (attempt: number, event: PassageEvent) =>
-        perform(relay.goEvent(attempt, event, monotonic())),
+        perform(relay.goEvent(attempt, event, monotonicNow())),
       share: () => CONNECTIONS_PER_RUNNER,
-      now: monotonic,
+      now: monotonicNow,
     });
     await adapter.open(this.#api(relay, perform));
     return connections;
@@ -129,11 +129,11 @@
       this.#tickets += 1;
       const ticket = `warm-up-${this.#tickets}`;
       this.#callers.add(ticket, caller);
-      perform(relay.arrive(ticket, request, monotonic()));
+      perform(relay.arrive(ticket, request, monotonicNow()));
       return ticket;
     };
     const left = (ticket: string): void => {
-      if (this.#callers.remove(ticket)) perform(relay.left(ticket, monotonic()));
+      if (this.#callers.remove(ticket)) perform(relay.left(ticket, monotonicNow()));
     };
     return {
       isReady: () => true,
--- a/packages/shell/src/beat.ts
+++ b/packages/shell/src/beat.ts
@@ -11,7 +11,7 @@
 const alwaysBusy: ActivityMonitor = { isIdle: () => false };
 
 /** Calls a process at a regular interval with the monotonic time; the interval is longer while the process is idle. */
-export class Beat {
+export class Ticker {
   readonly #activity: ActivityMonitor;
   #onTick: (now: number) => void = nothing;
   #handle: NodeJS.Timeout | undefined;
@@ -36,7 +36,7 @@
   }
 
   /** Must be called when work may have started: if the process is no longer idle, the next tick comes within the normal interval. */
-  hasten(): void {
+  wake(): void {
     if (this.#isSlowInterval && !this.#activity.isIdle()) this.#schedule(constants.tickIntervalMs);
   }
 
@@ -64,12 +64,12 @@
 }
 
 /** Monotonic time in ms. */
-export function monotonic(): number {
+export function monotonicNow(): number {
   return performance.now();
 }
 
 /** Resolves once a condition holds; checks it at every tick interval. */
-export function settled(holds: () => boolean): Promise<void> {
+export function waitUntil(holds: () => boolean): Promise<void> {
   function begin(resolve: () => void): void {
     function check(): void {
       if (!holds()) return;
--- a/packages/shell/src/caller-connections.ts
+++ b/packages/shell/src/caller-connections.ts
@@ -47,7 +47,7 @@
   }
 
   /** Number of requests whose responses have not been written completely, including requests that are still being read. */
-  get underWay(): number {
+  get unfinishedResponses(): number {
     return this.#openExchanges.size;
   }
 
--- a/packages/shell/src/connection-progress.ts
+++ b/packages/shell/src/connection-progress.ts
@@ -23,7 +23,7 @@
   }
 
   /** Whether the connection has stalled and should be replaced. */
-  get hasExpired(): boolean {
+  get hasStalled(): boolean {
     return this.#unacknowledgedMs >= constants.acknowledgementTimeoutMs;
   }
 
--- a/packages/shell/src/daemon-parts.ts
+++ b/packages/shell/src/daemon-parts.ts
@@ -1,7 +1,7 @@
 /** Parts shared by the three daemons: wire, data folder, operator routes and counts (docs/design.md §10). */
 import type { DiskCondition, Outcome } from "@chutewick/parts";
 import { Disk } from "./disk.js";
-import type { Opening } from "./gateway.js";
+import type { GatewayRoute } from "./gateway.js";
 import type { Log } from "./log.js";
 import { diskListener } from "./program.js";
 import type { Settings } from "./settings.js";
@@ -9,7 +9,7 @@
 import { Wire } from "./wire.js";
 
 /** HTTP routes that every daemon serves to operators. */
-export const operatorOpenings: readonly Opening[] = [
+export const operatorRoutes: readonly GatewayRoute[] = [
   { method: "GET", path: "/status", event: "operator.status" },
   { method: "GET", path: "/metrics", event: "operator.metrics" },
 ];
@@ -29,7 +29,7 @@
 }
 
 /** Owner of a data folder, and the listener to the condition of its disk. */
-export interface DataFolderOwner {
+export interface DataFolderOptions {
   readonly kind: "control" | "storage";
   readonly settings: Settings;
   readonly log: Log;
@@ -38,7 +38,7 @@
 }
 
 /** Opens a daemon's data folder; a damaged database is set aside and logged. The outcome is bad if the folder can't be used. */
-export async function openDataFolder(owner: DataFolderOwner): Promise<Outcome<Disk>> {
+export async function openDataFolder(owner: DataFolderOptions): Promise<Outcome<Disk>> {
   const { kind, settings, log, conditionChanged } = owner;
   const listener = diskListener(log, conditionChanged);
   const disk = await Disk.open(settings.data!, { kind, name: settings.name }, listener);
@@ -58,6 +58,6 @@
 }
 
 /** The current counts of a wire. */
-export function countsOfWire({ sent, dropped, refused, connections }: Wire): WireCounts {
+export function readWireCounts({ sent, dropped, refused, connections }: Wire): WireCounts {
   return { sent, dropped, refused, connections: { ...connections } };
 }
--- a/packages/shell/src/disk.ts
+++ b/packages/shell/src/disk.ts
@@ -194,8 +194,8 @@
   }
 
   /** Must be called at each tick of the process. */
-  beat(now: number): void {
-    this.#queue.beat(now);
+  tick(now: number): void {
+    this.#queue.tick(now);
   }
 
   /** Persisted votes at the time the folder was opened. */
@@ -214,7 +214,7 @@
   }
 
   /** Releases the state that was read at opening; call it once the cores have loaded that state. */
-  forgetFound(): void {
+  releasePersistedState(): void {
     this.#persisted = emptyState;
   }
 
--- a/packages/shell/src/gateway.ts
+++ b/packages/shell/src/gateway.ts
@@ -14,16 +14,16 @@
 import ApiService from "moleculer-web";
 import { CallerConnections } from "./caller-connections.js";
 import { CallerTiming } from "./caller-timing.js";
-import { settled } from "./beat.js";
+import { waitUntil } from "./beat.js";
 import { invariants } from "./invariants.js";
 import type { Log } from "./log.js";
 import { metrics } from "./metrics.js";
 import { refuseUnreadable, type ReadError } from "./read-errors.js";
-import { replyTrouble } from "./reply.js";
-import { readWhole, type WholeArrival } from "./whole-request.js";
+import { replyWithError } from "./reply.js";
+import { readRawRequest, type RawRequest } from "./whole-request.js";
 
 /** A request with a parsed body. */
-export interface Arrival {
+export interface GatewayRequest {
   readonly parameters: Readonly<Record<string, string>>;
   readonly query: Readonly<Record<string, string>>;
   readonly body: unknown;
@@ -34,7 +34,7 @@
 }
 
 /** Route whose requests are emitted as an event. */
-export interface Opening {
+export interface GatewayRoute {
   readonly method: "GET" | "POST" | "PUT" | "PATCH" | "DELETE";
   readonly path: string;
   /** Name of the event that carries the request to its owner. */
@@ -46,7 +46,7 @@
   /** IP:port to listen on. */
   readonly address: string;
   readonly log: Log;
-  readonly openings: readonly Opening[];
+  readonly routes: readonly GatewayRoute[];
   /** Event that carries every request with its raw body, whatever its path; if it is set, no routes are used. */
   readonly whole?: string;
   /** Limits on size and time of raw requests, read again for each request; the default limits if absent. */
@@ -86,13 +86,13 @@
 
   /** Starts the server. */
   async open(): Promise<void> {
-    const { address, openings, owners } = this.#options;
+    const { address, routes: routes, owners } = this.#options;
     const separator = address.lastIndexOf(":");
     const broker = this.#broker;
     const self = this;
     const connections = this.#connections;
     const aliases: Record<string, unknown> = {};
-    for (const opening of openings) {
+    for (const gatewayRoute of routes) {
       function receive(incoming: Incoming, response: ServerResponse): void {
         if (connections.isClosingAfterResponse(incoming.socket)) return;
         if (self.#isStopping) return refuseWhileStopping(response);
@@ -101,7 +101,7 @@
           (incoming as { originalUrl?: string }).originalUrl ?? incoming.url ?? "/",
           "http://gateway",
         );
-        const arrival: Arrival = {
+        const arrival: GatewayRequest = {
           parameters: incoming.$params.params,
           query: Object.fromEntries(url.searchParams),
           body: incoming.body,
@@ -109,10 +109,10 @@
           headers: incoming.headers,
           reply: response,
         };
-        metrics.arrived(response, opening.event);
-        void broker.emit(opening.event, arrival);
+        metrics.arrived(response, gatewayRoute.event);
+        void broker.emit(gatewayRoute.event, arrival);
       }
-      aliases[`${opening.method} ${opening.path}`] = receive;
+      aliases[`${gatewayRoute.method} ${gatewayRoute.path}`] = receive;
     }
     function onError(
       _incoming: IncomingMessage,
@@ -121,7 +121,7 @@
     ): void {
       const status = error.code ?? 500;
       if (status === 404)
-        replyTrouble(response, 404, {
+        replyWithError(response, 404, {
           trouble: "unknown-path",
           reason: "there is nothing at this path",
         });
@@ -130,25 +130,25 @@
         error.type === "entity.too.large" ||
         error.message.includes("too large")
       )
-        replyTrouble(response, 413, {
+        replyWithError(response, 413, {
           trouble: "body-too-large",
           reason: `the body may have ${constants.maxBodyBytes} bytes at most`,
         });
       else if (status >= 400 && status < 500)
-        replyTrouble(response, 400, {
+        replyWithError(response, 400, {
           trouble: "bad-body",
           reason: `the body cannot be read as JSON: ${error.message}`,
         });
-      else replyTrouble(response, 500, { trouble: "internal", reason: error.message });
+      else replyWithError(response, 500, { trouble: "internal", reason: error.message });
     }
     const { whole, limits = defaultLimits } = this.#options;
-    function publish(arrival: WholeArrival): void {
+    function publish(arrival: RawRequest): void {
       void broker.emit(whole!, arrival);
     }
     function receiveWhole(incoming: IncomingMessage, response: ServerResponse): void {
       if (connections.isClosingAfterResponse(incoming.socket)) return;
       if (self.#isStopping) return refuseWhileStopping(response);
-      readWhole(incoming, response, limits(), publish);
+      readRawRequest(incoming, response, limits(), publish);
     }
     // The library's own server has no option for the interval at which slow connections are checked.
     function create(this: { server: Server; httpHandler: RequestListener }): void {
@@ -215,18 +215,18 @@
   }
 
   /** Number of requests whose responses have not been written completely. */
-  get underWay(): number {
-    return this.#connections.underWay;
+  get unfinishedResponses(): number {
+    return this.#connections.unfinishedResponses;
   }
 
   /** Begins a planned stop: each connection is closed after its next response. */
-  leave(): void {
+  beginStop(): void {
     this.#connections.closeAfterResponses();
   }
 
   /** Closes once every request that was read has a response. Requests without one after `timeoutMs` are answered with an error. */
   async close(timeoutMs = 0): Promise<void> {
-    this.leave();
+    this.beginStop();
     await this.#waitForResponses(timeoutMs);
     this.#isStopping = true;
     this.#answerUnfinished();
@@ -242,8 +242,8 @@
   /** Waits until every request has its response, or until the time is over. */
   async #waitForResponses(patience: number): Promise<void> {
     const until = performance.now() + patience;
-    const isOver = (): boolean => this.underWay === 0 || performance.now() >= until;
-    if (!isOver()) await settled(isOver);
+    const isOver = (): boolean => this.unfinishedResponses === 0 || performance.now() >= until;
+    if (!isOver()) await waitUntil(isOver);
   }
 
   /** Counts requests that were read completely but end without a complete response, also because the caller reads too slowly. */
@@ -257,7 +257,7 @@
   /** An incompletely read request has certainly not run; of any other request the outcome is unknown. */
   #answerUnfinished(): void {
     for (const { response, isWhole } of this.#connections.unanswered())
-      if (isWhole) replyTrouble(response, 504, { trouble: "unknown", reason: STOPPING_REASON });
+      if (isWhole) replyWithError(response, 504, { trouble: "unknown", reason: STOPPING_REASON });
       else refuseWhileStopping(response);
   }
 }
@@ -275,7 +275,7 @@
 /** Replies that the request has not run: it has not been passed to any service and will not be. */
 function refuseWhileStopping(response: ServerResponse): void {
   const { retryAfter } = constants;
-  replyTrouble(response, 503, { trouble: "not-run", reason: STOPPING_REASON, retryAfter });
+  replyWithError(response, 503, { trouble: "not-run", reason: STOPPING_REASON, retryAfter });
 }
 
 function defaultLimits(): CallerLimits {
--- a/packages/shell/src/incoming-connections.ts
+++ b/packages/shell/src/incoming-connections.ts
@@ -93,7 +93,7 @@
   }
 
   /** Must be called at each tick of the process; acknowledges the bytes received on each connection. */
-  beat(now: number): void {
+  tick(now: number): void {
     for (const peer of this.#peers.values()) this.#acknowledge(peer, now);
   }
 
--- a/packages/shell/src/outgoing-connection.ts
+++ b/packages/shell/src/outgoing-connection.ts
@@ -83,7 +83,7 @@
     const { socket, progress } = this.#connection;
     progress.elapse(milliseconds, socket.bytesWritten);
     this.#checkAnswers(milliseconds);
-    if (progress.hasExpired) this.#closeStalled(socket, progress);
+    if (progress.hasStalled) this.#closeStalled(socket, progress);
   }
 
   /** Handles an acknowledgement that the other process sent on a connection of its own. */
--- a/packages/shell/src/read-errors.ts
+++ b/packages/shell/src/read-errors.ts
@@ -1,14 +1,14 @@
 /** Responses to requests that the HTTP parser could not read. */
 import type { Duplex } from "node:stream";
 import type { CallerConnections } from "./caller-connections.js";
-import { reply, type TroubleBody } from "./reply.js";
+import { reply, type ErrorBody } from "./reply.js";
 
 /** An error of the HTTP parser or of its timeouts. */
 export type ReadError = Error & { readonly code?: string };
 
 interface Refusal {
   readonly status: 400 | 408 | 413 | 431;
-  readonly body: TroubleBody;
+  readonly body: ErrorBody;
 }
 
 const statusTexts = {
--- a/packages/shell/src/reply.ts
+++ b/packages/shell/src/reply.ts
@@ -3,7 +3,7 @@
 import { metrics } from "./metrics.js";
 
 /** Body of every error response (docs/interface.md). */
-export interface TroubleBody {
+export interface ErrorBody {
   /** Code of the error. */
   readonly trouble: string;
   /** Description for people. */
@@ -22,7 +22,7 @@
 ): void {
   if (to.headersSent || to.destroyed) return;
   const text = JSON.stringify(body);
-  metrics.resulted(to, status, status >= 400 ? (body as TroubleBody).trouble : "");
+  metrics.resulted(to, status, status >= 400 ? (body as ErrorBody).trouble : "");
   to.writeHead(status, {
     "content-type": "application/json; charset=utf-8",
     "content-length": String(Buffer.byteLength(text)),
@@ -32,7 +32,7 @@
 }
 
 /** Sends an error response; `retryAfter` in seconds is also sent as a header, rounded up to whole seconds. */
-export function replyTrouble(to: ServerResponse, status: number, body: TroubleBody): void {
+export function replyWithError(to: ServerResponse, status: number, body: ErrorBody): void {
   const headers: Record<string, string> = {};
   if (body.retryAfter !== undefined) metrics.retryAfterSent(body.trouble, body.retryAfter);
   if (body.retryAfter !== undefined)
--- a/packages/shell/src/whole-request.ts
+++ b/packages/shell/src/whole-request.ts
@@ -2,10 +2,10 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { CallerLimits } from "@chutewick/parts";
 import { headerSizeOf } from "./caller-timing.js";
-import { replyTrouble } from "./reply.js";
+import { replyWithError } from "./reply.js";
 
 /** A request with its unchanged bytes, for interfaces that forward it (docs/design.md §13.2). */
-export interface WholeArrival {
+export interface RawRequest {
   readonly method: string;
   /** Path and query, unchanged. */
   readonly path: string;
@@ -18,11 +18,11 @@
 }
 
 /** Reads a whole request and passes it on. Beyond the limits it replies 431 or 413 at once and discards the rest of the request. */
-export function readWhole(
+export function readRawRequest(
   incoming: IncomingMessage,
   response: ServerResponse,
   limits: CallerLimits,
-  accept: (arrival: WholeArrival) => void,
+  accept: (arrival: RawRequest) => void,
 ): void {
   const chunks: Buffer[] = [];
   let size = 0;
@@ -64,7 +64,7 @@
   return undefined;
 }
 
-function requestOf(incoming: IncomingMessage, reply: ServerResponse, body: Buffer): WholeArrival {
+function requestOf(incoming: IncomingMessage, reply: ServerResponse, body: Buffer): RawRequest {
   return {
     method: incoming.method ?? "GET",
     path: incoming.url ?? "/",
@@ -91,5 +91,5 @@
       reason: `the headers may have ${limits.headerBytes} bytes at most`,
     },
   } as const;
-  replyTrouble(response, status, bodies[status]);
+  replyWithError(response, status, bodies[status]);
 }
--- a/packages/shell/src/wire.ts
+++ b/packages/shell/src/wire.ts
@@ -118,13 +118,13 @@
    * Must be called at each tick of the process, with the monotonic time in ms. Replaces stalled connections and acknowledges the bytes
    * received on the others.
    */
-  beat(now: number): void {
+  tick(now: number): void {
     const elapsed = now - (this.#lastTickAt ?? now);
     this.#lastTickAt = now;
     // A process that was paused has not yet read what arrived meanwhile, so at most two tick intervals of a pause count.
     const runningMs = Math.min(elapsed, constants.tickIntervalMs * 2);
     for (const connection of this.#outgoing.values()) connection.elapse(runningMs);
-    this.#incoming.beat(now);
+    this.#incoming.tick(now);
   }
 
   #connectionTo(to: string): OutgoingConnection {
--- a/packages/shell/src/write-queue.ts
+++ b/packages/shell/src/write-queue.ts
@@ -50,7 +50,7 @@
   }
 
   /** Must be called at each tick of the process; detects a commit that does not end. */
-  beat(now: number): void {
+  tick(now: number): void {
     this.#health.tick(now);
     this.#reportCondition();
   }
--- a/tools/model/src/inspect.ts
+++ b/tools/model/src/inspect.ts
@@ -1,5 +1,5 @@
 import type { Chain } from "@chutewick/parts";
-import { keys, type MarkedConfiguration, type AcceptedOrdersRecord } from "@chutewick/control";
+import { keys, type VersionedConfiguration, type AcceptedOrdersRecord } from "@chutewick/control";
 import type { Disk } from "./disk.js";
 import { PRIVATE_PREFIX } from "./loader.js";
 import { ControlProcess } from "./process.js";
@@ -29,7 +29,7 @@
 }
 
 function heldOf(read: (key: string) => unknown): Held {
-  const configuration = read(keys.configuration) as MarkedConfiguration | undefined;
+  const configuration = read(keys.configuration) as VersionedConfiguration | undefined;
   const taken = read(keys.taken) as AcceptedOrdersRecord | undefined;
   return {
     mark: configuration?.mark ?? 0,
--- a/tools/model/src/process.ts
+++ b/tools/model/src/process.ts
@@ -4,7 +4,7 @@
   type ControlMessage,
   type ControlOutcome,
 } from "@chutewick/control";
-import { Membership, StorageCore, type DataMessage, type Standing } from "@chutewick/data";
+import { Membership, StorageCore, type DataMessage, type NodeIdentity } from "@chutewick/data";
 import type { Policy, NodeReport } from "@chutewick/parts";
 import type { Disk, DiskWrite } from "./disk.js";
 
@@ -95,11 +95,11 @@
     return [];
   }
   beat(now: number): readonly Output[] {
-    return this.membership.beat(now);
+    return this.membership.tick(now);
   }
   receive(message: DataMessage, from: string, now: number): readonly Output[] {
     const isNews = this.membership.receive(message as ControlMessage, from, now);
-    return isNews ? this.membership.tell(now) : [];
+    return isNews ? this.membership.sendHeartbeats(now) : [];
   }
   written(): readonly Output[] {
     return [];
@@ -126,7 +126,7 @@
     return [];
   }
   beat(now: number): readonly Output[] {
-    return this.core.beat(now);
+    return this.core.tick(now);
   }
   receive(message: DataMessage, from: string, now: number): readonly Output[] {
     return this.core.receive(message, from, now);
@@ -139,7 +139,7 @@
   }
 }
 
-function standingOf({ name, disk }: Origin, kind: "access" | "storage"): Standing {
+function standingOf({ name, disk }: Origin, kind: "access" | "storage"): NodeIdentity {
   return { identity: disk.identity, address: name, kind, zone: "zone", name, http: name };
 }
 
--- a/tools/simulator/src/duties/duty-deployment.ts
+++ b/tools/simulator/src/duties/duty-deployment.ts
@@ -1,4 +1,4 @@
-import { keys, type DutyCall, type DutyInquiry } from "@chutewick/control";
+import { keys, type DutyCall, type DutyCommandOutput } from "@chutewick/control";
 import { constants, type DutyBounds } from "@chutewick/parts";
 import { configurationOf, Deployment } from "../deployment.js";
 import type { ControlMachine } from "../machines.js";
@@ -61,7 +61,7 @@
     const host: DutyHost = new DutyHost(machine, {
       bounds: this.bounds,
       platform: this.platform,
-      inquire: ({ ticket, command }: DutyInquiry) => {
+      inquire: ({ ticket, command }: DutyCommandOutput) => {
         machine.inquire(command, (told) => {
           if (machine.life === life) host.inquired(ticket, told ?? { kind: "unknown" });
         });
--- a/tools/simulator/src/duties/duty-host.ts
+++ b/tools/simulator/src/duties/duty-host.ts
@@ -3,8 +3,8 @@
   ScalingOrders,
   UsageReports,
   type DutyCall,
-  type DutyInquiry,
-  type DutyInquiryOutcome,
+  type DutyCommandOutput,
+  type DutyCommandOutcome,
   type DutyOutcome,
   type DutyOutput,
   type DutyRecords,
@@ -19,7 +19,7 @@
   readonly bounds: DutyBounds;
   readonly platform: DutyPlatform;
   /** Brings a command to the group; its outcome is to be told with `inquired`. */
-  readonly inquire: (inquiry: DutyInquiry) => void;
+  readonly inquire: (inquiry: DutyCommandOutput) => void;
   /** Told of each call as its first byte goes out. */
   readonly sent: (call: DutyCall) => void;
   /** Whether calls reach the platform. */
@@ -72,17 +72,17 @@
 
   beat(ground: { place: number; members: number; records: DutyRecords }): void {
     const { now } = this.#machine;
-    this.#usage.begin(now);
+    this.#usage.start(now);
     const due = [
       ...this.#usage.due(now, ground.records),
       ...this.#scaling.due(now, ground.records),
     ];
-    this.#perform(this.#performer.beat({ now, ...ground, due }));
+    this.#perform(this.#performer.tick({ now, ...ground, due }));
   }
 
   /** What became of a command. */
-  inquired(ticket: string, outcome: DutyInquiryOutcome): void {
-    this.#perform(this.#performer.inquired(ticket, outcome, this.#machine.now));
+  inquired(ticket: string, outcome: DutyCommandOutcome): void {
+    this.#perform(this.#performer.handleCommandOutcome(ticket, outcome, this.#machine.now));
   }
 
   #perform(outputs: readonly DutyOutput[]): void {
@@ -100,7 +100,7 @@
     const told = (outcome: DutyOutcome): void => {
       if (isTold) return;
       isTold = true;
-      this.#perform(this.#performer.called(ticket, outcome, this.#machine.now));
+      this.#perform(this.#performer.handleCallOutcome(ticket, outcome, this.#machine.now));
     };
     const send = (): void => {
       if (this.#machine.now > call.sendBy) return told("unsent");
--- a/tools/simulator/src/duties/duty-machine.ts
+++ b/tools/simulator/src/duties/duty-machine.ts
@@ -1,4 +1,4 @@
-import { DutyRecords, type DutyInquiry } from "@chutewick/control";
+import { DutyRecords, type DutyCommandOutput } from "@chutewick/control";
 import type { DutyBounds } from "@chutewick/parts";
 import { Machine, type World } from "../world.js";
 import type { AskMessage, DutyGroup, RecordsMessage, ToldMessage } from "./duty-group.js";
@@ -72,7 +72,7 @@
     if (life === this.life) this.#host.inquired(own, outcome);
   }
 
-  #ask({ ticket, command }: DutyInquiry): void {
+  #ask({ ticket, command }: DutyCommandOutput): void {
     const { world } = this;
     const message: AskMessage = { kind: "ask", ticket: `${this.life}:${ticket}`, command };
     const send = (): void => world.send(this.address, "group", message);
--- a/tools/simulator/src/machines/storage-machine.ts
+++ b/tools/simulator/src/machines/storage-machine.ts
@@ -37,7 +37,7 @@
   }
 
   protected strike(): void {
-    this.#perform(this.core.beat(this.now));
+    this.#perform(this.core.tick(this.now));
   }
 
   leave(): void {
--- a/tools/simulator/src/passages/lot-clients.ts
+++ b/tools/simulator/src/passages/lot-clients.ts
@@ -110,7 +110,7 @@
   #submit(lot: LotSight): void {
     const { world } = this.#fleet;
     const enter: Enter = (machine, ticket) =>
-      machine.core.lots.handIn(
+      machine.core.lots.submit(
         ticket,
         { ...this.#exchanges.callOn(lot), path: pathOf("x"), entries: lot.entries },
         world.now,
--- a/tools/simulator/src/swapped.ts
+++ b/tools/simulator/src/swapped.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import { Links, type GoEvent } from "@chutewick/data";
+import { RunnerConnections, type GoEvent } from "@chutewick/data";
 import type { Violation } from "./checker.js";
 
 /** The product's real links against a runner that answers one request with another's result, over loopback sockets (docs/testing.md §2). */
@@ -32,7 +32,7 @@
       });
     waiting.get(go)?.();
   };
-  const links = new Links(() => undefined, told);
+  const links = new RunnerConnections(() => undefined, told);
   for (let go = 1; go <= count; go += 1) {
     const request = `inquiry-${go}`;
     await new Promise<void>((resolve) => {
--- a/tools/simulator/src/targeted-faults/losses.ts
+++ b/tools/simulator/src/targeted-faults/losses.ts
@@ -175,7 +175,7 @@
     campaign.controls[0]!.inquire({ kind: "empty", identity, wanted: true }, told);
   }
   function leave(): void {
-    if (emptied.core.held > 0) return world.after(EMPTY_LOOK_EVERY, leave);
+    if (emptied.core.memberQueueCount > 0) return world.after(EMPTY_LOOK_EVERY, leave);
     emptied.kill(true);
     emptied.wipe();
     emptied.retired = true;
--- a/tools/simulator/src/worlds/lot-clients.ts
+++ b/tools/simulator/src/worlds/lot-clients.ts
@@ -40,7 +40,7 @@
     const items = 1 + site.chance.below(ITEMS_MOST);
     const entries = Array.from({ length: items }, (_, index) => entryOf(`${id}-${index}`));
     const lot = { lot: id, host: HOST, path: "/slips/x", entries, credential: undefined };
-    const enter: Enter = (access, ticket) => access.core.lots.handIn(ticket, lot, site.now);
+    const enter: Enter = (access, ticket) => access.core.lots.submit(ticket, lot, site.now);
     this.#ask(enter, (answer) => {
       site.history.count(`lot ${answer?.kind ?? "unanswered"}`);
       if (answer?.kind === "taken") site.history.lots.push({ id, items, acceptedAt: site.now });
