--- a/features/steps/calls-callers.ts
+++ b/features/steps/calls-callers.ts
@@ -152,7 +152,7 @@
 Then("both runners' connections are reset", runnersReset);
 
 function nothingUnderWay(this: World): void {
-  equal(this.node.relay.busy, 0);
+  equal(this.node.relay.requestCount, 0);
 }
 Then("nothing is under way at the node", nothingUnderWay);
 
--- a/features/steps/calls-node.ts
+++ b/features/steps/calls-node.ts
@@ -1,15 +1,15 @@
 import { configuration, type VersionedConfiguration } from "@chutewick/control";
 import {
   RunnerBalancer,
-  PassCallers,
+  PassageCallers,
   isForCaller,
-  PassConnections,
+  PassageRunnerConnections,
   RelayCore,
-  type AccessDesk,
+  type AccessApi,
   type FleetView,
   type LotCall,
-  type LotCaller,
-  type PassCaller,
+  type LotReplyHandler,
+  type PassageCaller,
   type PassageEvent,
   type PassageRequest,
   type PassageOutput,
@@ -65,9 +65,9 @@
   readonly relay: RelayCore;
   /** Calls on lots that came here. */
   readonly lotCalls: LotCall[] = [];
-  #links: PassConnections;
+  #links: PassageRunnerConnections;
   #front: PlatformAccessAdapter;
-  #callers = new PassCallers();
+  #callers = new PassageCallers();
   #tickets = 0;
   #beat: NodeJS.Timeout | undefined;
 
@@ -80,12 +80,12 @@
       return self.relay.mayStart(go, monotonicNow());
     }
     function told(go: number, event: PassageEvent): void {
-      self.#perform(self.relay.goEvent(go, event, monotonicNow()));
+      self.#perform(self.relay.handleAttemptEvent(go, event, monotonicNow()));
     }
     function share(): number {
       return 20;
     }
-    this.#links = new PassConnections({
+    this.#links = new PassageRunnerConnections({
       dialect: new PlatformRunnerProtocol(),
       mayStart,
       told,
@@ -99,8 +99,8 @@
     await this.#front.open(this.#desk());
     const self = this;
     function strike(): void {
-      self.#perform(self.relay.beat(monotonicNow()));
-      self.#links.beat(monotonicNow());
+      self.#perform(self.relay.tick(monotonicNow()));
+      self.#links.tick(monotonicNow());
     }
     this.#beat = setInterval(strike, beatEvery);
   }
@@ -111,9 +111,9 @@
     await this.#front.close();
   }
 
-  #desk(): AccessDesk {
+  #desk(): AccessApi {
     const self = this;
-    function pass(request: PassageRequest, caller: PassCaller): string {
+    function pass(request: PassageRequest, caller: PassageCaller): string {
       self.#tickets += 1;
       const ticket = `t-${self.#tickets}`;
       self.#callers.add(ticket, caller);
@@ -121,17 +121,18 @@
       return ticket;
     }
     function left(ticket: string): void {
-      if (self.#callers.remove(ticket)) self.#perform(self.relay.left(ticket, monotonicNow()));
+      if (self.#callers.remove(ticket))
+        self.#perform(self.relay.callerLeft(ticket, monotonicNow()));
     }
     return {
       isReady: () => true,
       takesLots: () => false,
       callerLimits: () => callerLimits.withDefaults(self.known.configuration.value.callers),
       pass,
-      left,
-      slow: ignored,
-      ready: ignored,
-      handIn: takesNoLots,
+      callerLeft: left,
+      pause: ignored,
+      resume: ignored,
+      submitLot: takesNoLots,
       readLot: (call, _reading, caller) => self.#refuse(call, caller),
       readItem: (call, _item, caller) => self.#refuse(call, caller),
       endLot: (call, caller) => self.#refuse(call, caller),
@@ -139,7 +140,7 @@
   }
 
   /** Calls on lots are noted, and none is authorized. */
-  #refuse(call: LotCall, caller: LotCaller): string {
+  #refuse(call: LotCall, caller: LotReplyHandler): string {
     this.lotCalls.push(call);
     caller({ kind: "unauthorized" });
     return "refused";
--- a/features/steps/confirmed-shares.ts
+++ b/features/steps/confirmed-shares.ts
@@ -99,7 +99,7 @@
     const items = Array<number>(count).fill(1);
     const access = deployment.accesses[tries % deployment.accesses.length]!;
     access.exchange(sight as unknown as ClientSight, (ticket) =>
-      access.core.handIn(ticket, "slips", `of ${count}`, items, { shift: "night" }, access.now),
+      access.core.submitLot(ticket, "slips", `of ${count}`, items, { shift: "night" }, access.now),
     );
     while (status === undefined && deployment.world.now < until)
       deployment.world.run(deployment.world.now + 5);
--- a/features/steps/pending-calls.ts
+++ b/features/steps/pending-calls.ts
@@ -50,7 +50,7 @@
     hold: seconds * 1_000,
     onResult: () => [],
   };
-  note(world, calls.ask(call, world.now));
+  note(world, calls.start(call, world.now));
   deepEqual(world.receivers, [owner]);
 }
 Given("a call {string} that may be held for {int} s, sent to the owner {string}", aCall);
--- a/features/steps/relay.ts
+++ b/features/steps/relay.ts
@@ -184,7 +184,7 @@
     ) {
       takeOutputs(
         world,
-        world.core.goEvent(
+        world.core.handleAttemptEvent(
           output.go,
           { kind: "refused", status: 503, retryAfter: 0.1, otherRunner: false },
           world.now,
@@ -223,7 +223,7 @@
     this.arrived.push(id);
     takeOutputs(this, this.core.arrive(id, requestOf(id, host, path), this.now));
     /** Their seats are free again for the next, where there are more than seats. */
-    if (count > 100) takeOutputs(this, this.core.left(id, this.now));
+    if (count > 100) takeOutputs(this, this.core.callerLeft(id, this.now));
   }
 }
 When("{int} inquiries arrive for {string} at {string}", manyArrive);
@@ -281,7 +281,7 @@
       ),
     );
     if (apart === 0) continue;
-    takeOutputs(this, this.core.left(id, this.now));
+    takeOutputs(this, this.core.callerLeft(id, this.now));
     this.now += apart;
   }
 }
@@ -354,7 +354,7 @@
       ),
     );
     streams.call(this, id, 1, 1);
-    if (index >= 6) takeOutputs(this, this.core.left(this.arrived[index - 6]!, this.now));
+    if (index >= 6) takeOutputs(this, this.core.callerLeft(this.arrived[index - 6]!, this.now));
   }
 }
 When(
@@ -492,7 +492,7 @@
 
 function tells(world: World, id: string, ...all: PassageEvent[]): void {
   const { go } = latestOf(world, id);
-  for (const told of all) takeOutputs(world, world.core.goEvent(go, told, world.now));
+  for (const told of all) takeOutputs(world, world.core.handleAttemptEvent(go, told, world.now));
 }
 
 function begins(world: World, id: string): void {
@@ -602,7 +602,7 @@
 
 function pass(this: World, span: number): void {
   this.now += span;
-  takeOutputs(this, this.core.beat(this.now));
+  takeOutputs(this, this.core.tick(this.now));
 }
 When("{int} ms pass", pass);
 
@@ -651,20 +651,20 @@
 }
 Then("the link of {string} goes on", resumes);
 function slow(this: World, id: string): void {
-  takeOutputs(this, this.core.slow(id));
+  takeOutputs(this, this.core.pause(id));
 }
 When("the caller of {string} reads slowly", slow);
 function ready(this: World, id: string): void {
-  takeOutputs(this, this.core.ready(id));
+  takeOutputs(this, this.core.resume(id));
 }
 When("the caller of {string} reads again", ready);
 function leaves(this: World, id: string): void {
-  takeOutputs(this, this.core.left(id, this.now));
+  takeOutputs(this, this.core.callerLeft(id, this.now));
 }
 When("the caller of {string} leaves", leaves);
 
 function nothing(this: World): void {
-  equal(this.core.busy, 0);
+  equal(this.core.requestCount, 0);
   deepEqual(this.choice.loads(), []);
 }
 Then("nothing is under way", nothing);
--- a/features/steps/runner-links.ts
+++ b/features/steps/runner-links.ts
@@ -3,7 +3,7 @@
 import { createServer, type AddressInfo, type Socket } from "node:net";
 import { After, Given, Then, When } from "@cucumber/cucumber";
 import {
-  PassConnections,
+  PassageRunnerConnections,
   ServerSentEvent,
   nativeProtocol,
   type PassageRequest,
@@ -71,7 +71,7 @@
 function aRunner(this: World, does: string): Promise<void> {
   const world = this;
   reset(world, does);
-  world.links = new PassConnections({
+  world.links = new PassageRunnerConnections({
     dialect: nativeProtocol,
     mayStart: () => world.look,
     told: (go, event) => world.events.get(go)!.push(event),
--- a/features/steps/runner-scripts.ts
+++ b/features/steps/runner-scripts.ts
@@ -1,6 +1,6 @@
 /** What scripted runners do with the requests that they read (features/relay.feature, links to runners). */
 import type { Server, Socket } from "node:net";
-import type { PassConnections, PassageEvent } from "@chutewick/data";
+import type { PassageRunnerConnections, PassageEvent } from "@chutewick/data";
 
 /** Scripted runner, and the links to it. */
 export interface World {
@@ -11,7 +11,7 @@
   inquiries: number;
   script: Script;
   address: string;
-  links: PassConnections;
+  links: PassageRunnerConnections;
   events: Map<number, PassageEvent[]>;
   works: number;
   /** ms. Clock of the links; it stands still but where a step lets time pass. */
--- a/features/steps/tenants.ts
+++ b/features/steps/tenants.ts
@@ -93,7 +93,7 @@
     this.arrived.push(id);
     arrive(this, id, path, `c-${number}`);
     /** Their seats are free again for the next. */
-    takeOutputs(this, this.core.left(id, this.now));
+    takeOutputs(this, this.core.callerLeft(id, this.now));
   }
 }
 When("{int} requests arrive at {string}, each with a credential of another tenant", manyArrive);
--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -1,7 +1,7 @@
 /** The core of an access node, without I/O: it takes events and returns commands for its shell (docs/design.md §5, §6, §13). */
 import { policy, type Policy, type RunnerDescriptor, type NodeReport } from "@chutewick/parts";
 import { newAccessCounts, type AccessCounts } from "./access-counts.js";
-import type { AccessOutput, GoEvent } from "./access-output.js";
+import type { AccessOutput, RunnerEvent } from "./access-output.js";
 import { Admission } from "./admission.js";
 import { Attempts } from "./attempts.js";
 import { RunnerBalancer } from "./choice.js";
@@ -106,17 +106,17 @@
   }
 
   /** Number of requests, items and calls that a planned stop waits for. */
-  get busy(): number {
-    return this.running + this.#pendingCalls.size;
+  get pendingCount(): number {
+    return this.runningCount + this.#pendingCalls.size;
   }
 
   /** Number of requests and items under way. Calls to queue owners do not count: even an idle node always has dequeue calls there. */
-  get running(): number {
-    return this.#attempts.size + this.relay.busy + this.lots.dispatcher.runningCount;
+  get runningCount(): number {
+    return this.#attempts.size + this.relay.requestCount + this.lots.dispatcher.runningCount;
   }
 
   /** Begins a planned stop: no new work is fetched, and what is under way continues. */
-  leave(now: number): AccessOutput[] {
+  beginStop(now: number): AccessOutput[] {
     this.#admission.leave();
     this.lots.leave();
     return this.membership.leave(now);
@@ -168,13 +168,13 @@
     now: number,
   ): AccessOutput[] {
     return (
-      this.#pendingCalls.ended(ticket, outcome, now, held ?? 0) ??
+      this.#pendingCalls.handleResult(ticket, outcome, now, held ?? 0) ??
       this.#dispatcher.handleLateResult(outcome, now)
     );
   }
 
   /** Runs periodic work: heartbeats, timeouts and retries. */
-  beat(now: number, wallClock: number): AccessOutput[] {
+  tick(now: number, wallClock: number): AccessOutput[] {
     this.#now = now;
     this.#lotRequests.observeWallClock(wallClock);
     const outputs: AccessOutput[] = [
@@ -185,7 +185,7 @@
     ];
     this.#registrations.tick(now);
     outputs.push(...this.#dispatcher.tick(now));
-    outputs.push(...this.relay.beat(now), ...this.lots.tick(now));
+    outputs.push(...this.relay.tick(now), ...this.lots.tick(now));
     return outputs;
   }
 
@@ -202,7 +202,7 @@
   }
 
   /** Abandons the live request of a caller that disconnected. */
-  left(ticket: string): AccessOutput[] {
+  callerLeft(ticket: string): AccessOutput[] {
     return this.#liveRequests.callerLeft(ticket);
   }
 
@@ -212,7 +212,7 @@
   }
 
   /** Handles an event of the connection on which an attempt of a route runs. */
-  goEvent(attempt: number, event: GoEvent, now: number): AccessOutput[] {
+  handleAttemptEvent(attempt: number, event: RunnerEvent, now: number): AccessOutput[] {
     this.#now = now;
     const job = this.#attempts.get(attempt)?.job;
     if (job === undefined) return [];
@@ -222,18 +222,18 @@
   }
 
   /** The same as `mayStart`, for attempts on passages. */
-  mayPass(attempt: number, now: number): string | undefined {
+  mayStartOnPassage(attempt: number, now: number): string | undefined {
     return this.lots.has(attempt)
       ? this.lots.mayStart(attempt, now)
       : this.relay.mayStart(attempt, now);
   }
 
   /** Handles an event of the connection on which an attempt on a passage runs. */
-  passEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
+  handlePassageEvent(attempt: number, event: PassageEvent, now: number): AccessOutput[] {
     this.#now = now;
     return this.lots.has(attempt)
       ? this.lots.handleAttemptEvent(attempt, event, now)
-      : this.relay.goEvent(attempt, event, now);
+      : this.relay.handleAttemptEvent(attempt, event, now);
   }
 
   /** Handles a runner's announcement of itself (§7.5). */
@@ -247,7 +247,7 @@
   }
 
   /** Handles the submission of a lot (a batch job) on a route; its fields are not validated yet (§5). */
-  handIn(
+  submitLot(
     ticket: string,
     routeName: string,
     key: unknown,
--- a/packages/data/src/access-jobs.ts
+++ b/packages/data/src/access-jobs.ts
@@ -1,14 +1,14 @@
 /** The jobs that an access node runs on runners for routes: live requests, and prompts dequeued from queues. */
 import type { Way } from "@chutewick/control";
 import type { Selector } from "@chutewick/parts";
-import type { RunnerRequestBody, Work } from "./access-output.js";
+import type { RunnerRequestBody, RunnerWork } from "./access-output.js";
 
 /** A request whose caller waits for the result (docs/design.md §6). */
 export interface LiveRequest {
   readonly kind: "live";
   readonly ticket: string;
   readonly route: Way;
-  readonly work: Work;
+  readonly work: RunnerWork;
   readonly triedRunners: Set<string>;
   /** Number of runners tried although they appeared to be full. */
   fullRunnersTried: number;
--- a/packages/data/src/access-output.ts
+++ b/packages/data/src/access-output.ts
@@ -36,7 +36,7 @@
       readonly kind: "run";
       readonly go: number;
       readonly url: string;
-      readonly work: Work;
+      readonly work: RunnerWork;
       readonly silence: number;
     }
   /** Closes the connection of an attempt whose result is no longer needed. */
@@ -46,7 +46,7 @@
   | PassageOutput;
 
 /** The work that is sent to a runner for a live request or a dequeued prompt. */
-export type Work =
+export type RunnerWork =
   | { readonly kind: "stream"; readonly request: string; readonly body: RunnerRequestBody }
   | { readonly kind: "one-shot"; readonly request: string; readonly body: RunnerRequestBody }
   | { readonly kind: "fetch"; readonly request: string; readonly path: string };
@@ -60,7 +60,7 @@
 };
 
 /** An event of the connection on which one attempt runs. */
-export type GoEvent =
+export type RunnerEvent =
   /** The attempt failed before its first byte was sent. */
   | { readonly kind: "unsent"; readonly reason: string }
   /** The runner rejected the work and did not run it. retryAfter in s. */
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -31,15 +31,15 @@
 import type { ServiceSchema } from "moleculer";
 import { z } from "zod";
 import { AccessCore } from "./access-core.js";
-import type { AccessOutput, GoEvent } from "./access-output.js";
-import type { AccessDesk, AccessFront, LotCaller, PassCaller } from "./access-desk.js";
-import { PassCallers } from "./caller-delivery.js";
+import type { AccessOutput, RunnerEvent } from "./access-output.js";
+import type { AccessApi, AccessAdapter, LotReplyHandler, PassageCaller } from "./access-desk.js";
+import { PassageCallers } from "./caller-delivery.js";
 import type { PassageEvent, PassageRequest, RunnerProtocol } from "./dialect.js";
 import type { ErrorBody } from "./error-reply.js";
 import { RunnerConnections } from "./link.js";
 import { MembershipLog } from "./membership-log.js";
 import { nativeProtocol } from "./own-dialect.js";
-import { PassConnections } from "./pass-link.js";
+import { PassageRunnerConnections } from "./pass-link.js";
 import { PlannedStop, stopTimes } from "./planned-stop.js";
 import type { LotCall, SubmittedLot, LotResultsQuery, PassageOutput } from "./pass.js";
 import type { RelayCore } from "./relay-core.js";
@@ -61,11 +61,11 @@
 });
 
 /** Optional extensions of an access process. */
-export interface AccessExtras {
+export interface AccessOptions {
   /** Protocol adapter for runners of passages; the native protocol by default. */
   readonly dialect?: RunnerProtocol;
   /** Protocol adapters for callers, beside the built-in HTTP interface. */
-  readonly fronts?: readonly AccessFront[];
+  readonly fronts?: readonly AccessAdapter[];
   /** Sample messages for a warm-up (§13.9); without them there is none. */
   readonly warmUp?: WarmUpSample;
 }
@@ -83,10 +83,10 @@
   #beat = new Ticker({ isIdle: () => this.#isIdle });
   /** Open HTTP responses by ticket. */
   #responses = new Map<string, ServerResponse>();
-  #passageCallers = new PassCallers();
-  #lotCallers = new Map<string, LotCaller>();
-  #adapters: readonly AccessFront[];
-  #passageConnections: PassConnections;
+  #passageCallers = new PassageCallers();
+  #lotCallers = new Map<string, LotReplyHandler>();
+  #adapters: readonly AccessAdapter[];
+  #passageConnections: PassageRunnerConnections;
   #membershipLog: MembershipLog;
   #relay: RelayCore;
   #plannedStop: PlannedStop | undefined;
@@ -96,7 +96,7 @@
   #ticketPrefix = randomUUID().slice(0, 8);
   #ticketNumber = 0;
 
-  private constructor(settings: Settings, log: Log, extras: AccessExtras) {
+  private constructor(settings: Settings, log: Log, extras: AccessOptions) {
     this.#log = log;
     this.#adapters = extras.fronts ?? [];
     this.#protocol = extras.dialect ?? nativeProtocol;
@@ -108,8 +108,8 @@
     function mayStart(attempt: number): string | undefined {
       return self.#core.mayStart(attempt, monotonicNow());
     }
-    function onRunnerEvent(attempt: number, event: GoEvent): void {
-      self.#perform(self.#core.goEvent(attempt, event, monotonicNow()));
+    function onRunnerEvent(attempt: number, event: RunnerEvent): void {
+      self.#perform(self.#core.handleAttemptEvent(attempt, event, monotonicNow()));
     }
     const identity = `${settings.name}-${randomUUID()}`;
     this.#core = new AccessCore(
@@ -127,24 +127,26 @@
     );
     this.#connections = new RunnerConnections(mayStart, onRunnerEvent);
     function mayStartOnPassage(attempt: number): string | undefined {
-      return self.#core.mayPass(attempt, monotonicNow());
+      return self.#core.mayStartOnPassage(attempt, monotonicNow());
     }
     function onPassageEvent(attempt: number, event: PassageEvent): void {
-      self.#perform(self.#core.passEvent(attempt, event, monotonicNow()));
+      self.#perform(self.#core.handlePassageEvent(attempt, event, monotonicNow()));
     }
     function connectionLimit(address: string): number {
       return self.#core.choice.connectionLimit(address);
     }
     this.#membershipLog = new MembershipLog(this.#core.membership);
     this.#relay = this.#core.relay;
-    this.#passageConnections = new PassConnections({
+    this.#passageConnections = new PassageRunnerConnections({
       dialect: this.#protocol,
       mayStart: mayStartOnPassage,
       told: onPassageEvent,
       share: connectionLimit,
       now: monotonicNow,
     });
-    this.#core.choice.useConnections((address) => this.#passageConnections.openTo(address));
+    this.#core.choice.useConnections((address) =>
+      this.#passageConnections.connectionCount(address),
+    );
     this.#wire = createWire(settings, log, receive);
     this.#gateway = new Gateway({
       address: settings.http,
@@ -167,16 +169,16 @@
   static async open(
     settings: Settings,
     log: Log,
-    extras: AccessExtras = {},
+    extras: AccessOptions = {},
   ): Promise<Outcome<AccessProcess>> {
     const access = new AccessProcess(settings, log, extras);
     const failure = await listen(access.#wire, access.#gateway);
     if (failure !== undefined) return outcome.failure(failure);
     function tick(now: number): void {
-      access.#perform(access.#core.beat(now, Date.now()));
+      access.#perform(access.#core.tick(now, Date.now()));
       access.#logMembership(now);
       access.#wire.tick(now);
-      access.#passageConnections.beat(now);
+      access.#passageConnections.tick(now);
       access.#beginWarmUp(now);
     }
     access.#beat.start(tick);
@@ -224,7 +226,7 @@
     const { stopWithin } = this.#core.membership.policy;
     const stop = new PlannedStop(stopTimes(stopWithin, this.#adapters.length > 0), startedAt);
     this.#plannedStop = stop;
-    this.#perform(this.#core.leave(startedAt));
+    this.#perform(this.#core.beginStop(startedAt));
     this.#gateway.beginStop();
     for (const adapter of this.#adapters) adapter.leave();
     const isClosed = (): boolean => this.#advanceStop(stop);
@@ -251,13 +253,13 @@
 
   /** Whether no request, item or call of a caller is under way. */
   get #isIdle(): boolean {
-    if (this.#plannedStop !== undefined || this.#core.running > 0) return false;
+    if (this.#plannedStop !== undefined || this.#core.runningCount > 0) return false;
     return this.#responses.size === 0 && this.#lotCallers.size === 0;
   }
 
   /** Number of requests, items, calls and responses that a planned stop waits for. */
   get #underWay(): number {
-    let underWay = this.#core.busy + this.#gateway.unfinishedResponses;
+    let underWay = this.#core.pendingCount + this.#gateway.unfinishedResponses;
     for (const adapter of this.#adapters) underWay += adapter.underWay;
     return underWay;
   }
@@ -272,7 +274,7 @@
   }
 
   /** Creates the API for protocol adapters (§13.2). */
-  #createApi(): AccessDesk {
+  #createApi(): AccessApi {
     const self = this;
     function nextTicket(): string {
       self.#ticketNumber += 1;
@@ -281,14 +283,14 @@
     function takesLots(host: string, path: string): boolean {
       return self.#relay.passages.find(host, path)?.passage.kind === "lot";
     }
-    function pass(request: PassageRequest, caller: PassCaller): string {
+    function pass(request: PassageRequest, caller: PassageCaller): string {
       const ticket = nextTicket();
       self.#passageCallers.add(ticket, caller);
       self.#perform(self.#relay.arrive(ticket, request, monotonicNow()));
       return ticket;
     }
     function startCall(
-      caller: LotCaller,
+      caller: LotReplyHandler,
       start: (ticket: string) => readonly AccessOutput[],
     ): string {
       const ticket = nextTicket();
@@ -296,25 +298,25 @@
       self.#perform(start(ticket));
       return ticket;
     }
-    function handIn(lot: SubmittedLot, caller: LotCaller): string {
+    function handIn(lot: SubmittedLot, caller: LotReplyHandler): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.submit(ticket, lot, monotonicNow());
       }
       return startCall(caller, start);
     }
-    function readLot(call: LotCall, query: LotResultsQuery, caller: LotCaller): string {
+    function readLot(call: LotCall, query: LotResultsQuery, caller: LotReplyHandler): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.read(ticket, call, query, monotonicNow());
       }
       return startCall(caller, start);
     }
-    function readItem(call: LotCall, item: string, caller: LotCaller): string {
+    function readItem(call: LotCall, item: string, caller: LotReplyHandler): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.item(ticket, call, item, monotonicNow());
       }
       return startCall(caller, start);
     }
-    function endLot(call: LotCall, caller: LotCaller): string {
+    function endLot(call: LotCall, caller: LotReplyHandler): string {
       function start(ticket: string): readonly AccessOutput[] {
         return self.#core.lots.end(ticket, call, monotonicNow());
       }
@@ -323,13 +325,13 @@
     function left(ticket: string): void {
       if (self.#lotCallers.delete(ticket)) return;
       if (self.#passageCallers.remove(ticket))
-        self.#perform(self.#relay.left(ticket, monotonicNow()));
+        self.#perform(self.#relay.callerLeft(ticket, monotonicNow()));
     }
     function slow(ticket: string): void {
-      self.#perform(self.#relay.slow(ticket));
+      self.#perform(self.#relay.pause(ticket));
     }
     function ready(ticket: string): void {
-      self.#perform(self.#relay.ready(ticket));
+      self.#perform(self.#relay.resume(ticket));
     }
     function isReady(): boolean {
       return self.#plannedStop === undefined && self.#core.membership.serves(monotonicNow());
@@ -342,13 +344,13 @@
       callerLimits: limitsOfCallers,
       takesLots,
       pass,
-      handIn,
+      submitLot: handIn,
       readLot,
       readItem,
       endLot,
-      left,
-      slow,
-      ready,
+      callerLeft: left,
+      pause: slow,
+      resume: ready,
     };
   }
 
@@ -421,7 +423,7 @@
           reason: `${unknownFields[0]}: is not a field of a lot`,
         });
       self.#perform(
-        self.#core.handIn(
+        self.#core.submitLot(
           self.#ticket(arrival),
           arrival.parameters["way"]!,
           body?.key,
@@ -490,7 +492,7 @@
     this.#responses.set(ticket, arrival.reply);
     // A caller that disconnects frees the runner's slot.
     function closed(): void {
-      if (self.#responses.delete(ticket)) self.#perform(self.#core.left(ticket));
+      if (self.#responses.delete(ticket)) self.#perform(self.#core.callerLeft(ticket));
     }
     arrival.reply.once("close", closed);
     return ticket;
--- a/packages/data/src/attempts.ts
+++ b/packages/data/src/attempts.ts
@@ -1,7 +1,7 @@
 /** The attempts of an access node: each sends one job to one runner (docs/design.md §6.1). */
 import type { RunnerDescriptor } from "@chutewick/parts";
 import type { DrawnPrompt, Job } from "./access-jobs.js";
-import type { AccessOutput, Work } from "./access-output.js";
+import type { AccessOutput, RunnerWork } from "./access-output.js";
 import type { Membership } from "./membership.js";
 
 /** A job that was sent to a runner. */
@@ -17,7 +17,7 @@
 export interface AttemptStart {
   readonly job: Job;
   readonly runner: RunnerDescriptor;
-  readonly work: Work;
+  readonly work: RunnerWork;
   /** Idle timeout of the connection to the runner, in ms. */
   readonly silence: number;
 }
--- a/packages/data/src/caller-delivery.ts
+++ b/packages/data/src/caller-delivery.ts
@@ -1,5 +1,5 @@
 /** Delivers outputs of the relay to the callers of live requests on passages. */
-import type { PassCaller } from "./access-desk.js";
+import type { PassageCaller } from "./access-desk.js";
 import type { PassageOutput } from "./pass.js";
 
 /** Outputs of the relay that go to the caller of a request. */
@@ -14,10 +14,10 @@
 }
 
 /** Callers of live requests on passages, by ticket, until their last output. */
-export class PassCallers {
-  #callers = new Map<string, PassCaller>();
+export class PassageCallers {
+  #callers = new Map<string, PassageCaller>();
 
-  add(ticket: string, caller: PassCaller): void {
+  add(ticket: string, caller: PassageCaller): void {
     this.#callers.set(ticket, caller);
   }
 
--- a/packages/data/src/item-endings.ts
+++ b/packages/data/src/item-endings.ts
@@ -59,7 +59,7 @@
     };
     const command = { kind: "settle", endings: withoutDeadlines(endings.sent) } as const;
     const patience = constants.ownerTimeoutMs;
-    return this.#pendingCalls.ask({ queue, command, patience, onResult }, now);
+    return this.#pendingCalls.start({ queue, command, patience, onResult }, now);
   }
 }
 
--- a/packages/data/src/link.ts
+++ b/packages/data/src/link.ts
@@ -2,18 +2,18 @@
 import { connect as connectSocket, type Socket } from "node:net";
 import { constants } from "@chutewick/parts";
 import { Client, type Dispatcher } from "undici";
-import type { GoEvent, Work } from "./access-output.js";
+import type { RunnerEvent, RunnerWork } from "./access-output.js";
 
 /** Opens a new connection for each attempt and never reuses it, so that no caller can get the bytes of another (docs/design.md §6.2). */
 export class RunnerConnections {
   #clients = new Map<number, Client>();
   /** The reason why an attempt must not start any more; undefined if it may. */
   #mayStart: (attempt: number) => string | undefined;
-  #onEvent: (attempt: number, event: GoEvent) => void;
+  #onEvent: (attempt: number, event: RunnerEvent) => void;
 
   constructor(
     mayStart: (attempt: number) => string | undefined,
-    onEvent: (attempt: number, event: GoEvent) => void,
+    onEvent: (attempt: number, event: RunnerEvent) => void,
   ) {
     this.#mayStart = mayStart;
     this.#onEvent = onEvent;
@@ -27,11 +27,11 @@
   }
 
   /** Starts an attempt; the runner may be silent for at most `silenceMs` at a time. */
-  run(attempt: number, url: string, work: Work, silenceMs: number): void {
+  run(attempt: number, url: string, work: RunnerWork, silenceMs: number): void {
     void this.#run(attempt, url, work, silenceMs);
   }
 
-  async #run(attempt: number, url: string, work: Work, silenceMs: number): Promise<void> {
+  async #run(attempt: number, url: string, work: RunnerWork, silenceMs: number): Promise<void> {
     const self = this;
     let sent = false;
     let connectError = "";
@@ -87,7 +87,7 @@
       maxResponseSize: work.kind === "stream" ? -1 : constants.maxResultBytes,
     });
     this.#clients.set(attempt, client);
-    function emit(event: GoEvent): void {
+    function emit(event: RunnerEvent): void {
       if (self.#clients.get(attempt) === client) self.#onEvent(attempt, event);
     }
     try {
@@ -105,7 +105,11 @@
   }
 
   /** Sends the request of an attempt and emits what the runner answers. */
-  async #exchange(client: Client, work: Work, emit: (event: GoEvent) => void): Promise<void> {
+  async #exchange(
+    client: Client,
+    work: RunnerWork,
+    emit: (event: RunnerEvent) => void,
+  ): Promise<void> {
     const options: Dispatcher.RequestOptions =
       work.kind === "fetch"
         ? {
@@ -182,7 +186,7 @@
 }
 
 /** The event of an attempt that a server-sent event of a runner stands for. */
-function parseEvent(event: ServerSentEvent): GoEvent {
+function parseEvent(event: ServerSentEvent): RunnerEvent {
   try {
     const data = JSON.parse(event.data) as { pieces?: number; reason?: string };
     if (event.name === "close") return { kind: "closed", pieces: Number(data.pieces) };
--- a/packages/data/src/live-request-check.ts
+++ b/packages/data/src/live-request-check.ts
@@ -1,7 +1,7 @@
 /** Validates a live request against its route, and builds the work for its runner (docs/design.md §6). */
 import type { Way } from "@chutewick/control";
 import { runnerRequestBody } from "./access-jobs.js";
-import type { Work } from "./access-output.js";
+import type { RunnerWork } from "./access-output.js";
 import { errorReply, type ErrorReply } from "./error-reply.js";
 import { unknownRoute } from "./routes.js";
 
@@ -19,7 +19,7 @@
 export interface CheckedRequest {
   readonly kind: "checked";
   readonly route: Way;
-  readonly work: Work;
+  readonly work: RunnerWork;
 }
 
 /** Validates a request. @returns its route and work, or the error for its caller */
--- a/packages/data/src/live-requests.ts
+++ b/packages/data/src/live-requests.ts
@@ -2,7 +2,7 @@
 import { constants, type RunnerDescriptor } from "@chutewick/parts";
 import type { AccessCounts } from "./access-counts.js";
 import type { LiveRequest } from "./access-jobs.js";
-import type { AccessOutput, GoEvent } from "./access-output.js";
+import type { AccessOutput, RunnerEvent } from "./access-output.js";
 import { NO_NEW_WORK, type Admission } from "./admission.js";
 import type { Attempts } from "./attempts.js";
 import { errorReply, notRunReply, type ErrorBody } from "./error-reply.js";
@@ -25,7 +25,7 @@
 }
 
 /** Attempt events of the given kinds. */
-type AttemptEventOf<Kind extends GoEvent["kind"]> = Extract<GoEvent, { kind: Kind }>;
+type AttemptEventOf<Kind extends RunnerEvent["kind"]> = Extract<RunnerEvent, { kind: Kind }>;
 
 /** The live requests of one access node. */
 export class LiveRequests {
@@ -89,7 +89,7 @@
   handleAttemptEvent(
     attempt: number,
     request: LiveRequest,
-    event: GoEvent,
+    event: RunnerEvent,
     now: number,
   ): AccessOutput[] {
     const { ticket } = request;
--- a/packages/data/src/lot-requests.ts
+++ b/packages/data/src/lot-requests.ts
@@ -71,7 +71,7 @@
     ];
     const { queue, command } = lot;
     const call = { queue, command, patience: constants.ownerTimeoutMs, onResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   #submissionReply(
@@ -132,7 +132,7 @@
     if (queue === undefined || !this.#isKnown(queue)) return [this.#noSuchQueue(ticket, now)];
     const onResult = (outcome: QueueOutcome): AccessOutput[] => [replyTo(outcome)];
     const call = { queue, command, patience: constants.ownerTimeoutMs, onResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   #isKnown(queue: string): boolean {
--- a/packages/data/src/lot-search.ts
+++ b/packages/data/src/lot-search.ts
@@ -81,7 +81,7 @@
     const patience = constants.readTimeoutMs + hold;
     const onResult = (outcome: QueueOutcome, later: number): AccessOutput[] =>
       this.#handleAnswer(queue, progress, outcome, later);
-    return this.#pendingCalls.ask({ queue, command, patience, hold, onResult }, now);
+    return this.#pendingCalls.start({ queue, command, patience, hold, onResult }, now);
   }
 
   #handleAnswer(
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -220,7 +220,7 @@
     // Longer than a grant is valid: an item granted too late to start still has to be returned.
     const patience = constants.orphanTimeoutMs;
     const call = { queue: state.queue, command, patience, hold: constants.drawHoldMs, onResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   #onDequeued(
@@ -406,7 +406,7 @@
   }
 
   #heartbeat(queue: string, tasks: readonly Claim[]): AccessOutput[] {
-    const owner = this.#pendingCalls.owner(queue);
+    const owner = this.#pendingCalls.ownerOf(queue);
     if (owner === undefined) return [];
     return [{ kind: "send", to: owner, message: { kind: "life", queue, items: [], tasks } }];
   }
--- a/packages/data/src/pass-link.ts
+++ b/packages/data/src/pass-link.ts
@@ -19,7 +19,7 @@
 ]);
 
 /** Options of the connections to runners. */
-export interface PassOptions {
+export interface PassageRunnerConnectionsOptions {
   readonly dialect: RunnerProtocol;
   /** Checks an attempt right before its first byte is sent. @returns why it must not be sent; undefined where it may be */
   readonly mayStart: (attempt: number) => string | undefined;
@@ -54,13 +54,13 @@
 }
 
 /** Connections to runners. They are kept alive, and each result is checked to belong to the request that it answers (docs/design.md §13.6). */
-export class PassConnections implements PassageConnections {
-  #options: PassOptions;
+export class PassageRunnerConnections implements PassageConnections {
+  #options: PassageRunnerConnectionsOptions;
   #hosts = new Map<string, Host>();
   #runs = new Map<number, Run>();
   readonly counts = { connected: 0, reused: 0, unreached: 0, poisoned: 0 };
 
-  constructor(options: PassOptions) {
+  constructor(options: PassageRunnerConnectionsOptions) {
     this.#options = options;
   }
 
@@ -88,12 +88,12 @@
   }
 
   /** Number of connections to an address, including those in use and those being opened. */
-  openTo(address: string): number {
+  connectionCount(address: string): number {
     return this.#hosts.get(address)?.open ?? 0;
   }
 
   /** Closes connections that were idle for too long, and ends runs that are overdue. */
-  beat(now: number): void {
+  tick(now: number): void {
     for (const [address, host] of this.#hosts) {
       while (host.idle.length > 0 && !isFresh(host.idle[0]!, true, now))
         this.#closeConnection(host.idle[0]!);
@@ -410,12 +410,17 @@
   isPaused = false;
   /** Monotonic time (ms) at which its headers were created. */
   startedAt = 0;
-  #connections: PassConnections;
+  #connections: PassageRunnerConnections;
   #isSent = false;
   #resumeReading: (() => void) | undefined;
   #isHeld = false;
 
-  constructor(connections: PassConnections, attempt: number, address: string, work: PassageWork) {
+  constructor(
+    connections: PassageRunnerConnections,
+    attempt: number,
+    address: string,
+    work: PassageWork,
+  ) {
     this.#connections = connections;
     this.go = attempt;
     this.address = address;
--- a/packages/data/src/pass-lots.ts
+++ b/packages/data/src/pass-lots.ts
@@ -58,7 +58,7 @@
     };
     const command = submitCommand(found, submission, identity.tenancy?.tenant);
     const patience = constants.submitTimeoutMs;
-    return this.#pendingCalls.ask({ queue, command, patience, onResult }, now);
+    return this.#pendingCalls.start({ queue, command, patience, onResult }, now);
   }
 
   read(
--- a/packages/data/src/pending-calls.ts
+++ b/packages/data/src/pending-calls.ts
@@ -32,7 +32,7 @@
   sentTo: string | undefined;
   sentAt: number;
   /** Whether an owner may have accepted it without its reply being received. */
-  doubtful: boolean;
+  mayBeAccepted: boolean;
 }
 
 /** All pending calls of one access node to owners of queues. */
@@ -55,7 +55,7 @@
   }
 
   /** Sends a call; its handler is called exactly once. */
-  ask(call: QueueCall, now: number): AccessOutput[] {
+  start(call: QueueCall, now: number): AccessOutput[] {
     const ticket = this.ticket();
     const { command } = call;
     const pendingCall: PendingCall = {
@@ -67,7 +67,7 @@
       since: now,
       sentTo: undefined,
       sentAt: now,
-      doubtful: false,
+      mayBeAccepted: false,
     };
     this.#pendingCalls.set(ticket, pendingCall);
     return this.#send(ticket, pendingCall, now);
@@ -80,18 +80,18 @@
   }
 
   /** Address of the owner of a queue, as far as this node knows. */
-  owner(queue: string): string | undefined {
+  ownerOf(queue: string): string | undefined {
     return this.#membership.follower.read<ChainView>(keys.queue + queue)?.members[0]?.address;
   }
 
   #send(ticket: string, pendingCall: PendingCall, now: number): AccessOutput[] {
     pendingCall.sentAt = now;
-    const owner = this.owner(pendingCall.queue);
+    const owner = this.ownerOf(pendingCall.queue);
     pendingCall.sentTo = owner;
     if (owner === undefined) return [];
     // Earlier copies may still be in transit; `final` makes a refusal apply to them as well.
     const command =
-      pendingCall.doubtful && pendingCall.command.kind === "hand-in"
+      pendingCall.mayBeAccepted && pendingCall.command.kind === "hand-in"
         ? { ...pendingCall.command, final: true }
         : pendingCall.command;
     const remainingHold = Math.max(
@@ -114,7 +114,7 @@
   }
 
   /** Handles an owner's reply, which it held back for `held` ms. @returns undefined where the call is no longer pending */
-  ended(
+  handleResult(
     ticket: string,
     outcome: QueueOutcome,
     now: number,
@@ -123,7 +123,7 @@
     const pendingCall = this.#pendingCalls.get(ticket);
     if (pendingCall === undefined) return undefined;
     const isLate = now - pendingCall.since >= pendingCall.patience;
-    if (outcome.kind === "unknown") pendingCall.doubtful = true;
+    if (outcome.kind === "unknown") pendingCall.mayBeAccepted = true;
     if (outcome.kind !== "confirmed" && !isLate && !mustNotRepeat(pendingCall.command)) {
       // Accepted by no owner, or idempotent by its key: a later tick sends it again.
       pendingCall.sentTo = undefined;
@@ -138,7 +138,7 @@
         (outcome.value.kind === "FULL" ||
           (outcome.value.kind === "NO_ROOM" && outcome.value.final !== true)));
     return pendingCall.onResult(
-      isRefusal && pendingCall.doubtful ? { kind: "unknown" } : outcome,
+      isRefusal && pendingCall.mayBeAccepted ? { kind: "unknown" } : outcome,
       now,
       pendingCall.since + held,
     );
@@ -155,7 +155,7 @@
           ...pendingCall.onResult(outcomeWithoutReply(pendingCall), now, pendingCall.since),
         );
       } else if (this.#shouldResend(pendingCall, now)) {
-        if (pendingCall.sentTo !== undefined) pendingCall.doubtful = true;
+        if (pendingCall.sentTo !== undefined) pendingCall.mayBeAccepted = true;
         outputs.push(...this.#send(ticket, pendingCall, now));
       }
     }
@@ -168,7 +168,7 @@
     if (sentTo === undefined) return sinceSent >= constants.ownerRetryDelayMs;
     if (mustNotRepeat(command)) return false;
     // The addressee is no longer the owner and may never reply.
-    if (this.owner(queue) !== sentTo) return sinceSent >= constants.ownerRetryDelayMs;
+    if (this.ownerOf(queue) !== sentTo) return sinceSent >= constants.ownerRetryDelayMs;
     return sinceSent >= constants.grantDurationMs + hold;
   }
 }
@@ -178,13 +178,14 @@
  * Such a node is partitioned, and its caller should try another node.
  */
 function hasExpired(pendingCall: PendingCall, holdsLease: boolean, now: number): boolean {
-  const isCutOff = !holdsLease && pendingCall.doubtful && pendingCall.command.kind === "hand-in";
+  const isCutOff =
+    !holdsLease && pendingCall.mayBeAccepted && pendingCall.command.kind === "hand-in";
   return now - pendingCall.since >= pendingCall.patience || isCutOff;
 }
 
 /** Outcome of a call that no owner replied to. */
 function outcomeWithoutReply(pendingCall: PendingCall): QueueOutcome {
-  return pendingCall.sentTo !== undefined || pendingCall.doubtful
+  return pendingCall.sentTo !== undefined || pendingCall.mayBeAccepted
     ? { kind: "unknown" }
     : { kind: "elsewhere", reason: "the queue's owner cannot be reached" };
 }
--- a/packages/data/src/prompt-dispatcher.ts
+++ b/packages/data/src/prompt-dispatcher.ts
@@ -15,7 +15,7 @@
 import { configuration, keys, quotaClasses, type QueueQuota } from "@chutewick/control";
 import type { AccessCounts } from "./access-counts.js";
 import { runnerRequestBody, type DrawnPrompt } from "./access-jobs.js";
-import type { AccessOutput, GoEvent, Work } from "./access-output.js";
+import type { AccessOutput, RunnerEvent, RunnerWork } from "./access-output.js";
 import type { Admission } from "./admission.js";
 import type { Attempts } from "./attempts.js";
 import { groupByQueue, type QueueClaim } from "./claims-by-queue.js";
@@ -97,14 +97,14 @@
     const command: QueueCommand = { kind: "record", lot, index, go, ending: { kind: "unsent" } };
     const patience = constants.ownerTimeoutMs;
     const call = { queue: queueOfLot(lot)!, command, patience, onResult: ignoreResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   /** Handles an event that the connection to a runner reports for an attempt of a prompt. */
   handleAttemptEvent(
     attempt: number,
     prompt: DrawnPrompt,
-    event: GoEvent,
+    event: RunnerEvent,
     now: number,
   ): AccessOutput[] {
     switch (event.kind) {
@@ -181,7 +181,7 @@
       return this.#handleDequeueResult(dispatch, outcome, askedAt, later);
     };
     const call = { queue: dispatch.queue, command, patience: constants.grantDurationMs, onResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   #handleDequeueResult(
@@ -240,7 +240,7 @@
     const request = `${prompt.lot}/${prompt.index}/${prompt.claim}`;
     const { model, adapter } = dispatch;
     const body = runnerRequestBody({ request, model, adapter, prompt: prompt.prompt });
-    const work: Work = { kind: "stream", request, body };
+    const work: RunnerWork = { kind: "stream", request, body };
     const silence = constants.promptSilenceTimeoutMs;
     return [this.#attempts.start({ job: prompt, runner, work, silence }, now)];
   }
@@ -284,7 +284,7 @@
     const { queue, lot, index, claim } = prompt;
     const command: QueueCommand = { kind: "record", lot, index, go: claim, ending };
     const call = { queue, command, patience: RECORD_TIMEOUT_MS, onResult: ignoreResult };
-    return this.#pendingCalls.ask(call, now);
+    return this.#pendingCalls.start(call, now);
   }
 
   #count({ kind }: ClaimEnding): void {
@@ -298,7 +298,7 @@
   #heartbeats(now: number): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [queue, items] of groupByQueue(this.#claims(now))) {
-      const owner = this.#pendingCalls.owner(queue);
+      const owner = this.#pendingCalls.ownerOf(queue);
       if (owner !== undefined)
         outputs.push({ kind: "send", to: owner, message: { kind: "life", queue, items } });
     }
--- a/packages/data/src/relay-core.ts
+++ b/packages/data/src/relay-core.ts
@@ -134,11 +134,11 @@
   }
 
   /** Number of requests under way. */
-  get busy(): number {
+  get requestCount(): number {
     return this.#requests.size;
   }
 
-  has(attempt: number): boolean {
+  hasAttempt(attempt: number): boolean {
     return this.#attempts.has(attempt);
   }
 
@@ -247,7 +247,7 @@
   }
 
   /** Abandons the request of a caller that disconnected. */
-  left(ticket: string, now: number): PassageOutput[] {
+  callerLeft(ticket: string, now: number): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined) return [];
     this.counts.passLeft += 1;
@@ -257,7 +257,7 @@
   }
 
   /** Pauses reading from the runner while the caller reads slowly. */
-  slow(ticket: string): PassageOutput[] {
+  pause(ticket: string): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined || live.isCallerSlow) return [];
     live.isCallerSlow = true;
@@ -265,7 +265,7 @@
   }
 
   /** Resumes reading from the runner once the caller reads again. */
-  ready(ticket: string): PassageOutput[] {
+  resume(ticket: string): PassageOutput[] {
     const live = this.#requests.get(ticket);
     if (live === undefined || !live.isCallerSlow) return [];
     live.isCallerSlow = false;
@@ -295,7 +295,7 @@
   }
 
   /** Handles an event of the connection on which an attempt runs. */
-  goEvent(number: number, event: PassageEvent, now: number): PassageOutput[] {
+  handleAttemptEvent(number: number, event: PassageEvent, now: number): PassageOutput[] {
     const run = this.#attempts.get(number);
     if (run === undefined) return [];
     run.heardAt = now;
@@ -335,7 +335,7 @@
   }
 
   /** Ends requests that are past their deadline, and moves requests away from silent runners. */
-  beat(now: number): PassageOutput[] {
+  tick(now: number): PassageOutput[] {
     const outputs: PassageOutput[] = [];
     // After a suspension of this process, events of live runners may still wait to be read.
     this.#sleepDetector.observe(now);
--- a/packages/data/src/warm-up/warm-up-sample.ts
+++ b/packages/data/src/warm-up/warm-up-sample.ts
@@ -1,9 +1,9 @@
 /** Sample messages of a foreign interface, with which a process exercises its own request path before callers connect (docs/design.md §13.9). */
 import type { IncomingHttpHeaders } from "node:http";
-import type { AccessFront } from "../access-desk.js";
+import type { AccessAdapter } from "../access-desk.js";
 
 /** An access adapter that exposes its listening address. */
-export interface SampleAdapter extends AccessFront {
+export interface SampleAdapter extends AccessAdapter {
   /** Listening address for callers, as host:port. */
   readonly address: string;
 }
--- a/packages/data/src/warm-up/warm-up.ts
+++ b/packages/data/src/warm-up/warm-up.ts
@@ -6,12 +6,12 @@
 import { setTimeout as pause } from "node:timers/promises";
 import { callerLimits, policy } from "@chutewick/parts";
 import { monotonicNow } from "@chutewick/shell";
-import type { AccessDesk, PassCaller } from "../access-desk.js";
-import { isForCaller, PassCallers } from "../caller-delivery.js";
+import type { AccessApi, PassageCaller } from "../access-desk.js";
+import { isForCaller, PassageCallers } from "../caller-delivery.js";
 import { RunnerBalancer } from "../choice.js";
 import type { PassageEvent, PassageRequest, RunnerProtocol } from "../dialect.js";
 import type { NodeIdentity } from "../membership.js";
-import { PassConnections } from "../pass-link.js";
+import { PassageRunnerConnections } from "../pass-link.js";
 import type { PassageOutput } from "../pass.js";
 import { RelayCore } from "../relay-core.js";
 import { callOnce } from "./sample-caller.js";
@@ -56,7 +56,7 @@
 export class WarmUp {
   #sample: WarmUpSample;
   #runners: SampleRunner[] = [];
-  #callers = new PassCallers();
+  #callers = new PassageCallers();
   #tickets = 0;
   #protocol: RunnerProtocol;
 
@@ -93,7 +93,7 @@
   }
 
   /** Assembles adapter, relay, balancer, connections and runners as an access process does. */
-  async #openPath(adapter: SampleAdapter): Promise<PassConnections> {
+  async #openPath(adapter: SampleAdapter): Promise<PassageRunnerConnections> {
     const addresses: string[] = [];
     for (let index = 0; index < RUNNER_COUNT; index += 1) {
       const runner = new SampleRunner(this.#sample);
@@ -106,11 +106,11 @@
     const perform = (outputs: readonly PassageOutput[]): void => {
       for (const output of outputs) this.#perform(output, connections);
     };
-    const connections = new PassConnections({
+    const connections = new PassageRunnerConnections({
       dialect: this.#protocol,
       mayStart: (attempt: number) => relay.mayStart(attempt, monotonicNow()),
       told: (attempt: number, event: PassageEvent) =>
-        perform(relay.goEvent(attempt, event, monotonicNow())),
+        perform(relay.handleAttemptEvent(attempt, event, monotonicNow())),
       share: () => CONNECTIONS_PER_RUNNER,
       now: monotonicNow,
     });
@@ -118,14 +118,14 @@
     return connections;
   }
 
-  #perform(output: PassageOutput, connections: PassConnections): void {
+  #perform(output: PassageOutput, connections: PassageRunnerConnections): void {
     if (output.kind === "pass-run") connections.run(output.go, output.address, output.work);
     else if (output.kind === "pass-abandon") connections.abandon(output.go);
     else if (isForCaller(output)) this.#callers.deliver(output);
   }
 
-  #api(relay: RelayCore, perform: (outputs: readonly PassageOutput[]) => void): AccessDesk {
-    const pass = (request: PassageRequest, caller: PassCaller): string => {
+  #api(relay: RelayCore, perform: (outputs: readonly PassageOutput[]) => void): AccessApi {
+    const pass = (request: PassageRequest, caller: PassageCaller): string => {
       this.#tickets += 1;
       const ticket = `warm-up-${this.#tickets}`;
       this.#callers.add(ticket, caller);
@@ -133,17 +133,17 @@
       return ticket;
     };
     const left = (ticket: string): void => {
-      if (this.#callers.remove(ticket)) perform(relay.left(ticket, monotonicNow()));
+      if (this.#callers.remove(ticket)) perform(relay.callerLeft(ticket, monotonicNow()));
     };
     return {
       isReady: () => true,
       callerLimits: () => callerLimits.withDefaults(undefined),
       takesLots: () => false,
       pass,
-      left,
-      slow: ignore,
-      ready: ignore,
-      handIn: rejectLot,
+      callerLeft: left,
+      pause: ignore,
+      resume: ignore,
+      submitLot: rejectLot,
       readLot: rejectLot,
       readItem: rejectLot,
       endLot: rejectLot,
--- a/tools/simulator/src/campaign/lot-clients.ts
+++ b/tools/simulator/src/campaign/lot-clients.ts
@@ -69,7 +69,7 @@
     };
     const access = world.chance.pick(accesses);
     access.exchange(client, (ticket) =>
-      access.core.handIn(ticket, way, record.key, items, record.labels, world.now),
+      access.core.submitLot(ticket, way, record.key, items, record.labels, world.now),
     );
     world.after(CLIENT_PATIENCE, torn);
   }
--- a/tools/simulator/src/machines/access-machine.ts
+++ b/tools/simulator/src/machines/access-machine.ts
@@ -4,9 +4,9 @@
   isPassageOutput,
   type AccessOutput,
   type DataMessage,
-  type GoEvent,
+  type RunnerEvent,
   type PassageOutput,
-  type Work,
+  type RunnerWork,
 } from "@chutewick/data";
 import type { Runner } from "../runners.js";
 import { Machine, type World } from "../world.js";
@@ -31,13 +31,13 @@
 export interface AccessHooks {
   runnerAt(url: string): Runner | undefined;
   /** Asked when the first byte goes out. */
-  began(machine: AccessMachine, work: Work): void;
+  began(machine: AccessMachine, work: RunnerWork): void;
 }
 
 /** One attempt of a node at a runner. */
 interface Attempt {
   readonly go: number;
-  readonly work: Work;
+  readonly work: RunnerWork;
   /** ms without a word after which it is given up. */
   readonly silence: number;
   heardAt: number;
@@ -83,11 +83,11 @@
   }
 
   protected strike(): void {
-    this.perform(this.core.beat(this.now, this.world.wall + this.wallStep));
+    this.perform(this.core.tick(this.now, this.world.wall + this.wallStep));
   }
 
   leave(): void {
-    this.perform(this.core.leave(this.now));
+    this.perform(this.core.beginStop(this.now));
   }
 
   arrived(message: unknown, from: string): void {
@@ -112,7 +112,8 @@
     this.#sights.set(ticket, sight);
     this.mine(() => this.perform(enter(ticket)))();
     return () => {
-      if (this.#sights.delete(ticket)) this.mine(() => this.perform(this.core.left(ticket)))();
+      if (this.#sights.delete(ticket))
+        this.mine(() => this.perform(this.core.callerLeft(ticket)))();
     };
   }
 
@@ -193,7 +194,7 @@
   }
 
   /** Tells the core, while the attempt goes on, what came of it. */
-  #tell(attempt: Attempt, event: GoEvent): void {
+  #tell(attempt: Attempt, event: RunnerEvent): void {
     const { go } = attempt;
     this.mine(() => {
       if (attempt.hasEnded) return;
@@ -202,7 +203,7 @@
         attempt.hasEnded = true;
         this.#links.delete(go);
       }
-      this.perform(this.core.goEvent(go, event, this.now));
+      this.perform(this.core.handleAttemptEvent(go, event, this.now));
     })();
   }
 
--- a/tools/simulator/src/passages/pass-attempt.ts
+++ b/tools/simulator/src/passages/pass-attempt.ts
@@ -66,7 +66,7 @@
     const { machine, go } = this.#sending;
     const { world } = this.#fleet;
     if (machine.life !== this.#life) return;
-    machine.mine(() => machine.perform(machine.core.passEvent(go, event, world.now)))();
+    machine.mine(() => machine.perform(machine.core.handlePassageEvent(go, event, world.now)))();
   }
 
   #tellLast(event: PassageEvent): void {
@@ -79,7 +79,7 @@
     const { machine, go, runner } = this.#sending;
     const { world, manner } = this.#fleet;
     if (this.#isOver || machine.life !== this.#life || !machine.alive) return;
-    const reason = machine.core.mayPass(go, world.now);
+    const reason = machine.core.mayStartOnPassage(go, world.now);
     if (reason !== undefined) return this.#tellLast({ kind: "unsent", reason });
     if (!runner.alive) return this.#tellLast({ kind: "unsent", reason: "connection refused" });
     if (runner.isDark) return this.#unreached();
--- a/tools/simulator/src/runners.ts
+++ b/tools/simulator/src/runners.ts
@@ -1,4 +1,4 @@
-import type { GoEvent, Work } from "@chutewick/data";
+import type { RunnerEvent, RunnerWork } from "@chutewick/data";
 import type { World } from "./world.js";
 
 /** Runners as they are met: slow, full, failing, torn, gone. */
@@ -116,7 +116,7 @@
   }
 
   /** Takes work over one connection; returns how the other side leaves it. */
-  take(from: Peer, work: Work, tell: (event: GoEvent) => void): () => void {
+  take(from: Peer, work: RunnerWork, tell: (event: RunnerEvent) => void): () => void {
     const connection = new Connection(this, from, work, tell);
     connection.start();
     return () => connection.leave();
@@ -127,8 +127,8 @@
 class Connection {
   readonly #runner: Runner;
   readonly #from: Peer;
-  readonly #work: Work;
-  readonly #tell: (event: GoEvent) => void;
+  readonly #work: RunnerWork;
+  readonly #tell: (event: RunnerEvent) => void;
   /** The life of the runner that it belongs to. */
   readonly #life: number;
   #record: RunRecord | undefined;
@@ -138,7 +138,7 @@
   #lastAt = 0;
   #isBroken = false;
 
-  constructor(runner: Runner, from: Peer, work: Work, tell: (event: GoEvent) => void) {
+  constructor(runner: Runner, from: Peer, work: RunnerWork, tell: (event: RunnerEvent) => void) {
     this.#runner = runner;
     this.#from = from;
     this.#work = work;
@@ -155,7 +155,7 @@
     this.#hasLeft = true;
   }
 
-  #send(event: GoEvent): void {
+  #send(event: RunnerEvent): void {
     const { world, address } = this.#runner;
     this.#isBroken ||= world.isCut(this.#from.address, address);
     if (this.#isBroken) return;
--- a/tools/simulator/src/swapped.ts
+++ b/tools/simulator/src/swapped.ts
@@ -1,6 +1,6 @@
 import { createServer, type IncomingMessage, type ServerResponse } from "node:http";
 import type { AddressInfo } from "node:net";
-import { RunnerConnections, type GoEvent } from "@chutewick/data";
+import { RunnerConnections, type RunnerEvent } from "@chutewick/data";
 import type { Violation } from "./checker.js";
 
 /** The product's real links against a runner that answers one request with another's result, over loopback sockets (docs/testing.md §2). */
@@ -24,7 +24,7 @@
   const url = await runner.listen();
   const violations: Violation[] = [];
   const waiting = new Map<number, () => void>();
-  const told = (go: number, event: GoEvent): void => {
+  const told = (go: number, event: RunnerEvent): void => {
     if (event.kind === "whole")
       violations.push({
         rule: "someone-elses",
--- a/tools/simulator/src/worlds/live-callers.ts
+++ b/tools/simulator/src/worlds/live-callers.ts
@@ -73,7 +73,7 @@
     this.#end(call, "left");
     this.#router.forget(ticket);
     if (access.alive)
-      access.mine(() => access.perform(access.core.relay.left(ticket, this.#site.now)))();
+      access.mine(() => access.perform(access.core.relay.callerLeft(ticket, this.#site.now)))();
   }
 
   #told(call: Call, output: CallerOutput): void {
--- a/tools/simulator/src/worlds/wrong-runners.ts
+++ b/tools/simulator/src/worlds/wrong-runners.ts
@@ -83,9 +83,11 @@
       if (access.life !== link.life || link.abandoned) return;
       const reason = this.#gone.has(run.address)
         ? "connection refused"
-        : access.core.mayPass(run.go, this.#site.now);
+        : access.core.mayStartOnPassage(run.go, this.#site.now);
       if (reason === undefined) return this.#begin(link);
-      access.perform(access.core.passEvent(run.go, { kind: "unsent", reason }, this.#site.now));
+      access.perform(
+        access.core.handlePassageEvent(run.go, { kind: "unsent", reason }, this.#site.now),
+      );
     })();
   }
 
@@ -144,7 +146,7 @@
       const event: PassageEvent = reset ? { kind: "broken", reason: "runner gone" } : step.event;
       access.mine(() => {
         if (access.life === link.life)
-          access.perform(access.core.passEvent(run.go, event, this.#site.now));
+          access.perform(access.core.handlePassageEvent(run.go, event, this.#site.now));
       })();
       if (!reset) this.#play(link, rest, stubborn);
     });
