--- a/features/steps/agreed-time.ts
+++ b/features/steps/agreed-time.ts
@@ -20,7 +20,7 @@
   silent: Set<number>;
   /** Largest error of agreed time, last agreed time, and largest step back, in ms. */
   maxError: number;
-  lastTime: number;
+  last: number;
   maxStepBack: number;
 }
 
@@ -31,7 +31,7 @@
   this.ownClockError = 0;
   this.silent = new Set();
   this.maxError = 0;
-  this.lastTime = 0;
+  this.last = 0;
   this.maxStepBack = 0;
   advance(this, 3);
 }
@@ -53,8 +53,8 @@
     return;
   }
   world.maxError = Math.max(world.maxError, Math.abs(time - trueTime(world)));
-  world.maxStepBack = Math.max(world.maxStepBack, world.lastTime - time);
-  world.lastTime = time;
+  world.maxStepBack = Math.max(world.maxStepBack, world.last - time);
+  world.last = time;
 }
 
 function advance(world: World, seconds: number): void {
--- a/packages/control/src/forwarding.ts
+++ b/packages/control/src/forwarding.ts
@@ -34,7 +34,7 @@
 
 /**
  * Pending requests that were forwarded to the head. An idempotent request is retried, also at a new head, until it has a definite
- * outcome or `confirmPatience` has passed; any other request is sent once.
+ * outcome or `commitTimeoutMs` has passed; any other request is sent once.
  */
 export class Forwarding {
   /** Prefix of request ids; it prevents results for an earlier process from being mistaken for results of this one. */
--- a/packages/control/src/lagging-nodes.ts
+++ b/packages/control/src/lagging-nodes.ts
@@ -16,7 +16,7 @@
   /** By the node's identity. */
   readonly #lags = new Map<string, Lag>();
 
-  /** Whether a node has lagged behind the feed without progress for longer than `lagLasts`. */
+  /** Whether a node has lagged behind the feed without progress for longer than `maxFeedLagForLeaseMs`. */
   isLagging(card: NodeDescriptor, feedPlace: number, now: number): boolean {
     if (card.place >= feedPlace) {
       this.#lags.delete(card.identity);
--- a/packages/control/src/order-log.ts
+++ b/packages/control/src/order-log.ts
@@ -22,8 +22,8 @@
  * Replicated log that deduplicates operators' orders by idempotency key. The command that accepts an order also reads and writes
  * this log, so an order has one outcome no matter how often and to which machine it is sent.
  *
- * An order is retained for `orderRemembered`, which is longer than any caller retries. The last `ordersKept` orders are retained
- * regardless of their age; `ordersKeptMost` bounds the record.
+ * An order is retained for `orderRetentionMs`, which is longer than any caller retries. The last `minRememberedOrders` orders are retained
+ * regardless of their age; `maxRememberedOrders` bounds the record.
  */
 export class OrderLog {
   readonly #ledger: Ledger;
--- a/packages/control/src/quorum-contact.ts
+++ b/packages/control/src/quorum-contact.ts
@@ -29,7 +29,7 @@
     return back.at;
   }
 
-  /** Whether a majority of the voters had a successful round trip within `contactLasts`. */
+  /** Whether a majority of the voters had a successful round trip within `controlContactTimeoutMs`. */
   hasQuorum(view: ChainView | undefined, now: number): boolean {
     if (view === undefined) return false;
     let reached = 0;
--- a/packages/parts/src/bucket.ts
+++ b/packages/parts/src/bucket.ts
@@ -81,9 +81,9 @@
 
 export const bucket = {
   full,
-  tokensAt: tokensAt,
+  tokensAt,
   draw,
-  changeLimits: changeLimits,
+  changeLimits,
   restore,
   rate,
 };
--- a/packages/parts/src/season.ts
+++ b/packages/parts/src/season.ts
@@ -128,5 +128,5 @@
   nextChange,
   inForce: seasonInForce,
   roomAt,
-  divideAllowance: divideAllowance,
+  divideAllowance,
 };
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -126,7 +126,9 @@
     start: "severed",
     guard: "a holder counts its lease shorter than its granter",
     invariant: "a confirmed change is in force",
-    cuts: [{ file: session, from: "grantedMs * (1 - constants.clockRatesApart)", to: "grantedMs" }],
+    cuts: [
+      { file: session, from: "grantedMs * (1 - constants.maxClockDriftFraction)", to: "grantedMs" },
+    ],
   },
   {
     start: "severed",
--- a/tools/simulator/src/duties/duty-guards.ts
+++ b/tools/simulator/src/duties/duty-guards.ts
@@ -10,7 +10,7 @@
     cuts: [
       {
         file: performer,
-        from: "return askedAt + dutyBounds.freshFor(this.#machine.bounds);",
+        from: "return askedAt + dutyBounds.roundValidityMs(this.#machine.bounds);",
         to: "return Number.POSITIVE_INFINITY;",
       },
     ],
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -103,8 +103,8 @@
       },
       {
         file: lot,
-        from: 'if (ending.kind === "trouble" && troubles >= constants.troublesMost)',
-        to: "if (troubles >= constants.troublesMost)",
+        from: 'if (ending.kind === "trouble" && troubles >= constants.maxFailedAttempts)',
+        to: "if (troubles >= constants.maxFailedAttempts)",
       },
     ],
   },
@@ -117,10 +117,14 @@
     cuts: [
       {
         file: promptDispatcher,
-        from: "grantedUntil: askedAt + heldFor(constants.grantLasts)",
+        from: "grantedUntil: askedAt + holderDurationMs(constants.grantDurationMs)",
         to: "grantedUntil: Number.POSITIVE_INFINITY",
       },
-      { file: promptDispatcher, from: "patience: constants.grantLasts", to: "patience: 60_000" },
+      {
+        file: promptDispatcher,
+        from: "patience: constants.grantDurationMs",
+        to: "patience: 60_000",
+      },
     ],
   },
   "leases go to those who have come as far": {
@@ -197,7 +201,7 @@
       {
         file: lot,
         from: "for (const [lot, count] of this.#openByLot) {",
-        to: "for (const [lot] of this.#openByLot) { let count = 0; for (const season of this.#waiting.groups()) for (const { key } of this.#waiting.of(season)) if (key.startsWith(`item/${lot}/`)) count += 1;",
+        to: "for (const [lot] of this.#openByLot) { let count = 0; for (const season of this.#waiting.groups()) for (const { key } of this.#waiting.itemsOf(season)) if (key.startsWith(`item/${lot}/`)) count += 1;",
       },
     ],
   },
@@ -207,12 +211,12 @@
   },
   "what is read on waking may be old": {
     section: "§7.5",
-    cuts: [{ file: constant, from: "wakingLasts: 200", to: "wakingLasts: 0" }],
+    cuts: [{ file: constant, from: "resumePeriodMs: 200", to: "resumePeriodMs: 0" }],
   },
   "time runs from the telling": {
     section: "§5.5",
     cuts: [
-      { file: lot, from: "command.lasts + constants.deadlineGrace", to: "command.lasts" },
+      { file: lot, from: "command.lasts + constants.deadlineGraceMs", to: "command.lasts" },
       { file: lotReplies, from: "Math.min(lot.lasts, value.remaining - elapsed)", to: "lot.lasts" },
     ],
   },
@@ -292,10 +296,14 @@
   "silent members are voted out": {
     section: "§2.3, §8.2",
     cuts: [
-      { file: constant, from: "memberSilence: 1_500", to: "memberSilence: 60_000" },
+      {
+        file: constant,
+        from: "memberSilenceTimeoutMs: 1_500",
+        to: "memberSilenceTimeoutMs: 60_000",
+      },
       {
         file: session,
-        from: "if (session.card.kind === kind && now - session.heardAt <= constants.sessionLasts)",
+        from: "if (session.card.kind === kind && now - session.heardAt <= constants.sessionTimeoutMs)",
         to: "if (session.card.kind === kind)",
       },
     ],
