--- a/packages/control/src/shares-in-step.ts
+++ b/packages/control/src/shares-in-step.ts
@@ -25,7 +25,10 @@
   }
 }
 
-/** Whether any season is configured or recorded: only seasons divide waiting work by a configuration change. */
+/**
+ * Whether any season is configured or recorded. Only seasons divide waiting work by a configuration change; work that no season
+ * selects is limited by the throttle level alone.
+ */
 function hasSeasons(feed: Feed): boolean {
   const { value } = configuration.read(feed.read<VersionedConfiguration>(keys.configuration));
   if (Object.keys(value.seasons).length > 0) return true;
