--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -278,7 +278,7 @@
     return attempt !== undefined && this.#isSilent(attempt.state, now);
   }
 
-  /** Like `isQuiet`, but later events of items count as responses, too. */
+  /** Like `isRunnerSilent`, but later events of items count as responses, too. */
   isRunnerUnresponsive(attemptNumber: number, now: number): boolean {
     const attempt = this.#attempts.get(attemptNumber);
     if (attempt === undefined || !this.#isSilent(attempt.state, now)) return false;
--- a/packages/data/src/dialect.ts
+++ b/packages/data/src/dialect.ts
@@ -72,7 +72,7 @@
   readonly retryAfter: number | undefined;
 }
 
-/** Protocol adapter: maps requests to HTTP headers and response headers to a `ResultHead`. */
+/** Protocol adapter: maps requests to HTTP headers and response headers to a `ResponseHead`. */
 export interface RunnerProtocol {
   /** Returns alternating names and values of all headers of a request sent at `now` (ms, monotonic). */
   headers(work: PassageWork, now: number): string[];
--- a/packages/data/src/pass.ts
+++ b/packages/data/src/pass.ts
@@ -43,7 +43,7 @@
   readonly host: string;
   readonly path: string;
   readonly entries: readonly LotEntry[];
-  /** See `PassRequest.credential`. */
+  /** See `PassageRequest.credential`. */
   readonly credential: string | undefined;
 }
 
@@ -51,7 +51,7 @@
 export interface LotCall {
   readonly lot: string;
   readonly host: string;
-  /** See `PassRequest.credential`. */
+  /** See `PassageRequest.credential`. */
   readonly credential: string | undefined;
 }
 
--- a/packages/data/src/runner-selection.ts
+++ b/packages/data/src/runner-selection.ts
@@ -82,8 +82,8 @@
 }
 
 /** A live request may try some runners without a free slot as a last resort, because reported loads are up to a second old. */
-function mayTryFullRunner({ slotFraction: seatPart, fullRunnersTried = 0 }: RunnerDemand): boolean {
-  return seatPart >= 1 && fullRunnersTried < constants.maxFullRunnersTried;
+function mayTryFullRunner({ slotFraction, fullRunnersTried = 0 }: RunnerDemand): boolean {
+  return slotFraction >= 1 && fullRunnersTried < constants.maxFullRunnersTried;
 }
 
 function hasLabels(
