--- a/examples/embed/src/index.ts
+++ b/examples/embed/src/index.ts
@@ -84,7 +84,7 @@
     for (const command of commands) {
       if (command.kind === "send")
         this.#queue.push({ to: command.to, from: name, message: command.message });
-      /** A real program syncs `command.write` first, and calls `written` only then. */
+      /** A real program syncs `command.write` first, and calls `writeCompleted` only then. */
       else if (command.kind === "write")
         this.#perform(name, chain.writeCompleted(command.ticket, this.#now));
       else if (command.kind === "result" && command.result.kind === "confirmed")
--- a/packages/parts/src/chain.ts
+++ b/packages/parts/src/chain.ts
@@ -67,7 +67,7 @@
   | { readonly kind: "digest-got"; readonly series: number; readonly part: number }
 );
 
-/** An atomic write; `written(ticket)` is called when it is durable. */
+/** An atomic write; `writeCompleted(ticket)` is called when it is durable. */
 export interface ChainWrite {
   /** Whether all earlier records and entries of the chain are deleted first. */
   readonly clear: boolean;
--- a/packages/parts/src/outcome.ts
+++ b/packages/parts/src/outcome.ts
@@ -41,5 +41,5 @@
   return right[0] - left[0] || (left[1] < right[1] ? -1 : 1);
 }
 
-export const outcome = { success: success, failure: failure };
+export const outcome = { success, failure };
 export const rendezvous = { hash: hashText, rank: rankHolders };
--- a/packages/parts/src/view-messages.ts
+++ b/packages/parts/src/view-messages.ts
@@ -66,6 +66,6 @@
 /** Effects that the agreement requests from its host. */
 export type ViewCommand =
   | { readonly kind: "send"; readonly to: string; readonly message: ViewMessage }
-  /** Persist the state, then call `written(ticket)`. */
+  /** Persist the state, then call `writeCompleted(ticket)`. */
   | { readonly kind: "vote"; readonly ticket: number; readonly state: VoteState }
   | { readonly kind: "decided"; readonly view: ChainView };
--- a/tools/model/src/guards.ts
+++ b/tools/model/src/guards.ts
@@ -58,7 +58,7 @@
       {
         file: control,
         from: 'case "send":\n                case "write":\n                    outputs.push(command);',
-        to: 'case "send":\n                case "write":\n                    outputs.push(command); if (command.kind === "write") outputs.push(...this.#performChainCommands(this.#chain.written(command.ticket, now), now));',
+        to: 'case "send":\n                case "write":\n                    outputs.push(command); if (command.kind === "write") outputs.push(...this.#performChainCommands(this.#chain.writeCompleted(command.ticket, now), now));',
       },
     ],
   },
--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -79,7 +79,7 @@
       {
         file: storage,
         from: 'if (command.kind === "send" || command.kind === "write")\n                outputs.push(command);',
-        to: 'if (command.kind === "send" || command.kind === "write") { outputs.push(command); if (command.kind === "write") outputs.push(...this.#perform(partition, partition.chain.written(command.ticket, now), now)); }',
+        to: 'if (command.kind === "send" || command.kind === "write") { outputs.push(command); if (command.kind === "write") outputs.push(...this.#perform(partition, partition.chain.writeCompleted(command.ticket, now), now)); }',
       },
     ],
   },
