--- a/features/steps/pending-calls.ts
+++ b/features/steps/pending-calls.ts
@@ -82,7 +82,7 @@
     get head(): string {
       return world.owner;
     },
-    spread: () => [],
+    broadcastDeregistrations: () => [],
   };
   world.requests = new ControlCalls(membership as unknown as Membership, () => TICKET);
   world.calls = world.requests;
