--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -35,8 +35,8 @@
     cuts: [
       {
         file: access,
-        from: "goEvent(attempt, event, now) {",
-        to: "goEvent(attempt, event, now) { if (event.kind === 'broken') event = { kind: 'unsent', reason: '' };",
+        from: "handleAttemptEvent(attempt, event, now) {",
+        to: "handleAttemptEvent(attempt, event, now) { if (event.kind === 'broken') event = { kind: 'unsent', reason: '' };",
       },
     ],
   },
@@ -45,8 +45,8 @@
     cuts: [
       {
         file: access,
-        from: "goEvent(attempt, event, now) {",
-        to: "goEvent(attempt, event, now) { if (event.kind === 'broken') event = { kind: 'unsent', reason: '' };",
+        from: "handleAttemptEvent(attempt, event, now) {",
+        to: "handleAttemptEvent(attempt, event, now) { if (event.kind === 'broken') event = { kind: 'unsent', reason: '' };",
       },
       { file: liveRequests, from: "if (event.number !== nextPiece)", to: "if (false)" },
       { file: liveRequests, from: "if (event.pieces !== nextPiece)", to: "if (false)" },
@@ -110,7 +110,7 @@
   },
   "refused only when no earlier sending may be taken": {
     section: "§5.2",
-    cuts: [{ file: pendingCalls, from: "isRefusal && pendingCall.doubtful", to: "false" }],
+    cuts: [{ file: pendingCalls, from: "isRefusal && pendingCall.mayBeAccepted", to: "false" }],
   },
   "a grant is begun within a second": {
     section: "§5.4",
