--- a/packages/shell/src/gateway.ts
+++ b/packages/shell/src/gateway.ts
@@ -86,7 +86,7 @@
 
   /** Starts the server. */
   async open(): Promise<void> {
-    const { address, routes: routes, owners } = this.#options;
+    const { address, routes, owners } = this.#options;
     const separator = address.lastIndexOf(":");
     const broker = this.#broker;
     const self = this;
@@ -101,7 +101,7 @@
           (incoming as { originalUrl?: string }).originalUrl ?? incoming.url ?? "/",
           "http://gateway",
         );
-        const arrival: GatewayRequest = {
+        const request: GatewayRequest = {
           parameters: incoming.$params.params,
           query: Object.fromEntries(url.searchParams),
           body: incoming.body,
@@ -110,7 +110,7 @@
           reply: response,
         };
         metrics.arrived(response, gatewayRoute.event);
-        void broker.emit(gatewayRoute.event, arrival);
+        void broker.emit(gatewayRoute.event, request);
       }
       aliases[`${gatewayRoute.method} ${gatewayRoute.path}`] = receive;
     }
@@ -142,8 +142,8 @@
       else replyWithError(response, 500, { trouble: "internal", reason: error.message });
     }
     const { whole, limits = defaultLimits } = this.#options;
-    function publish(arrival: RawRequest): void {
-      void broker.emit(whole!, arrival);
+    function publish(request: RawRequest): void {
+      void broker.emit(whole!, request);
     }
     function receiveWhole(incoming: IncomingMessage, response: ServerResponse): void {
       if (connections.isClosingAfterResponse(incoming.socket)) return;
--- a/packages/shell/src/whole-request.ts
+++ b/packages/shell/src/whole-request.ts
@@ -22,7 +22,7 @@
   incoming: IncomingMessage,
   response: ServerResponse,
   limits: CallerLimits,
-  accept: (arrival: RawRequest) => void,
+  accept: (request: RawRequest) => void,
 ): void {
   const chunks: Buffer[] = [];
   let size = 0;
