--- a/features/steps/warm-up.ts
+++ b/features/steps/warm-up.ts
@@ -20,12 +20,12 @@
 function programOf(sample: string, calls: number): string {
   return `
     import { WarmUp } from "@chutewick/data";
-    import { PlatformDialect, PlatformWarmUpSample } from "@chutewick/platform";
+    import { PlatformRunnerProtocol, PlatformWarmUpSample } from "@chutewick/platform";
     process.on("uncaughtException", () => {});
     const log = { info() {}, warn() {}, error() {} };
     let asked = 0;
     const isWanted = () => ++asked <= ${calls};
-    const result = await new WarmUp(new PlatformDialect(), ${sample}).run(isWanted);
+    const result = await new WarmUp(new PlatformRunnerProtocol(), ${sample}).run(isWanted);
     await new Promise((resolve) => setTimeout(resolve, 100));
     const listening = process.getActiveResourcesInfo().filter((kind) => kind === "TCPServerWrap");
     console.log(JSON.stringify({ result, listening: listening.length }));
