--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -500,50 +500,45 @@
    * long prompts and cache their shared parts.
    */
   #repartition(pool: string, states: RunnerState[], now: number): void {
-    const partition = this.#partitionOf(pool, now);
-    const elapsed = now - partition.at;
-    partition.at = now;
+    const split = this.#partitionOf(pool, now);
+    const elapsed = now - split.at;
+    split.at = now;
     let occupied = 0;
     let seats = 0;
     for (const state of states) {
       occupied += state.live + state.othersLive;
       seats += state.card.seats;
     }
-    partition.longLoad +=
-      (partition.longCount - partition.longLoad) * Math.min(1, elapsed / constants.longSmoothingMs);
-    const current = Math.max(0, occupied - partition.longLoad * this.#nodes);
-    partition.shortLoad +=
-      (current - partition.shortLoad) *
-      Math.min(
-        1,
-        elapsed / (current > partition.shortLoad ? constants.loadRiseMs : constants.loadFallMs),
-      );
-    const maximum =
-      states.length - Math.max(1, Math.ceil(states.length * constants.minLongFraction));
+    split.longLoad +=
+      (split.longCount - split.longLoad) * Math.min(1, elapsed / constants.longSmoothingMs);
+    const load = Math.max(0, occupied - split.longLoad * this.#nodes);
+    split.shortLoad +=
+      (load - split.shortLoad) *
+      Math.min(1, elapsed / (load > split.shortLoad ? constants.loadRiseMs : constants.loadFallMs));
+    const limit = states.length - Math.max(1, Math.ceil(states.length * constants.minLongFraction));
     if (
       states.length < constants.minPoolToDivide ||
-      now - partition.lastLongAt > constants.longMemoryMs
+      now - split.lastLongAt > constants.longMemoryMs
     )
-      partition.shortRunners = Number.POSITIVE_INFINITY;
+      split.shortRunners = Number.POSITIVE_INFINITY;
     else {
-      const needed =
-        partition.shortLoad / (seats / states.length) / constants.shortPromptSlotFraction;
+      const needed = split.shortLoad / (seats / states.length) / constants.shortPromptSlotFraction;
       // Hysteresis: a change moves the homes of shared parts, and nodes may differ on it for a while.
       if (
-        needed > partition.shortRunners + constants.maxShortRunnerDeficit ||
-        needed < partition.shortRunners - constants.maxShortRunnerSurplus ||
-        partition.shortRunners > maximum
+        needed > split.shortRunners + constants.maxShortRunnerDeficit ||
+        needed < split.shortRunners - constants.maxShortRunnerSurplus ||
+        split.shortRunners > limit
       )
-        partition.shortRunners = Math.ceil(needed);
-      partition.shortRunners = clamp(
-        partition.shortRunners,
+        split.shortRunners = Math.ceil(needed);
+      split.shortRunners = clamp(
+        split.shortRunners,
         Math.ceil(states.length * constants.minShortFraction),
-        maximum,
+        limit,
       );
     }
-    if (partition.shortRunners < states.length) states.sort(compareHashes);
+    if (split.shortRunners < states.length) states.sort(compareHashes);
     for (let index = 0; index < states.length; index += 1)
-      states[index]!.servesLong = index >= partition.shortRunners;
+      states[index]!.servesLong = index >= split.shortRunners;
   }
 
   /** Refreshes the state of the runners from the fleet view, a few times per tick instead of for each request. */
--- a/packages/parts/src/pass-queue.ts
+++ b/packages/parts/src/pass-queue.ts
@@ -294,10 +294,8 @@
   #applyEnding(context: Context, open: OpenTask, ending: PassEnding): boolean {
     switch (ending.kind) {
       case "solved": {
-        const partial = context.ledger.read<PartialText>(
-          indexedKey("text", open.lot.id, open.index),
-        );
-        this.#finish(context, open, { state: "solved", text: concatenate(partial, ending).text });
+        const prior = context.ledger.read<PartialText>(indexedKey("text", open.lot.id, open.index));
+        this.#finish(context, open, { state: "solved", text: concatenate(prior, ending).text });
         return true;
       }
       case "never":
