--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -1,18 +1,25 @@
+/**
+ * Builds the programs under target/: bundles them into one file and stores its compiled code beside it, so that a start reads
+ * and compiles little (docs/platform.md).
+ */
 import { spawnSync } from "node:child_process";
 import { copyFileSync, readFileSync, writeFileSync } from "node:fs";
 import { resolve } from "node:path";
 import { build } from "esbuild";
 
-/** One file of the programs under target/, and its compiled code beside it, so that a start reads and compiles little (docs/platform.md). */
-const sources = {
+/** Entry point in TypeScript of each package of this repository. */
+const packageSources = {
   "@chutewick/parts": "packages/parts/src/index.ts",
   "@chutewick/shell": "packages/shell/src/index.ts",
   "@chutewick/control": "packages/control/src/index.ts",
   "@chutewick/data": "packages/data/src/index.ts",
 };
 
-/** lmdb and msgpackr bring native code; the others are libraries that moleculer and bunyan would use where somebody installed them. */
-const left = [
+/**
+ * Packages that are not bundled: lmdb and msgpackr contain native code; the others are optional dependencies of moleculer and
+ * bunyan that are not installed.
+ */
+const externalPackages = [
   "lmdb",
   "msgpackr",
   "avsc",
@@ -26,14 +33,14 @@
   "moment",
 ];
 
-/** Only the client of undici is bundled (deploy/undici-client.cjs). */
+/** Replaces undici by its client module (deploy/undici-client.cjs). */
 function resolveUndici(bundler) {
   const path = resolve("deploy/undici-client.cjs");
   bundler.onResolve({ filter: /^undici$/ }, () => ({ path }));
 }
 
-/** Parts of the bundled libraries that they load at once and that these programs never use (docs/platform.md, Programs). */
-const unusedParts = new RegExp(
+/** Modules of bundled libraries that are loaded eagerly and never used by these programs (docs/platform.md, Programs). */
+const unusedModules = new RegExp(
   [
     "moleculer/src/runner",
     "moleculer/src/middlewares/(hot-reload|transmit/encryption|transmit/compression)",
@@ -48,13 +55,13 @@
     "moleculer/node_modules/glob/glob",
     "prom-client/lib/pushgateway",
   ]
-    .map((part) => `/node_modules/${part}[.]js$`)
+    .map((module) => `/node_modules/${module}[.]js$`)
     .join("|"),
 );
 
-/** An empty module in place of each unused part. */
-function leaveOutUnused(bundler) {
-  bundler.onLoad({ filter: unusedParts }, () => ({ contents: "" }));
+/** Replaces each unused module by an empty one. */
+function replaceUnused(bundler) {
+  bundler.onLoad({ filter: unusedModules }, () => ({ contents: "" }));
 }
 
 await build({
@@ -69,37 +76,49 @@
   minify: true,
   keepNames: true,
   legalComments: "none",
-  external: left,
-  alias: Object.fromEntries(Object.entries(sources).map(([name, path]) => [name, `./${path}`])),
+  external: externalPackages,
+  alias: Object.fromEntries(
+    Object.entries(packageSources).map(([name, path]) => [name, `./${path}`]),
+  ),
   plugins: [
     { name: "undici-client", setup: resolveUndici },
-    { name: "unused-parts", setup: leaveOutUnused },
+    { name: "unused-modules", setup: replaceUnused },
   ],
 });
-writeAscii("target/programs.cjs");
+escapeNonAscii("target/programs.cjs");
 for (const file of ["chutewick.cjs", "unused-modules.cjs"])
   copyFileSync(`deploy/${file}`, `target/${file}`);
-/** Compiled code holds only for the flags that it was made under. */
-const made = spawnSync(process.execPath, [...programFlags(), "target/chutewick.cjs", "--compile"], {
-  stdio: "inherit",
-});
-process.exitCode = made.status ?? 1;
+/** Node.js accepts compiled code only under the flags that it was produced with. */
+const compilation = spawnSync(
+  process.execPath,
+  [...programFlags(), "target/chutewick.cjs", "--compile"],
+  {
+    stdio: "inherit",
+  },
+);
+process.exitCode = compilation.status ?? 1;
 
-/** Flags of Node.js with which deploy/system.toml runs the programs: the same for all of them. */
+/** Returns the Node.js flags with which deploy/system.toml runs the programs; they must be the same for all programs. */
 function programFlags() {
-  const runs = readFileSync("deploy/system.toml", "utf8").matchAll(/^run = "node (.*) target/gm);
-  const flags = new Set(Array.from(runs, ([, each]) => each));
-  if (flags.size !== 1) throw new Error("the programs run with different flags");
+  const commands = readFileSync("deploy/system.toml", "utf8").matchAll(
+    /^run = "node (.*) target/gm,
+  );
+  const flags = new Set(Array.from(commands, ([, text]) => text));
+  if (flags.size !== 1)
+    throw new Error("deploy/system.toml must run all programs with the same Node.js flags");
   return [...flags][0].split(" ");
 }
 
-/** Regular expressions keep characters beyond ASCII; escaped, the file can be read as one byte a character. */
-function writeAscii(file) {
+/**
+ * Escapes the characters beyond ASCII that esbuild leaves in regular expressions, so that the file can be read as Latin-1, one
+ * byte per character.
+ */
+function escapeNonAscii(file) {
   const text = readFileSync(file, "utf8");
-  const escaped = text.replace(/[^\x00-\x7f]/g, escapeOf);
+  const escaped = text.replace(/[^\x00-\x7f]/g, escapeCharacter);
   writeFileSync(file, escaped, "latin1");
 }
 
-function escapeOf(character) {
+function escapeCharacter(character) {
   return `\\u${character.charCodeAt(0).toString(16).padStart(4, "0")}`;
 }
--- a/deploy/undici-client.cjs
+++ b/deploy/undici-client.cjs
@@ -1,3 +1,3 @@
 "use strict";
-/** The one part of undici that the programs use: its whole index also loads Node.js's own copy of undici. */
+/** The only module of undici that the programs use; the index of undici would also load the copy built into Node.js. */
 exports.Client = require("undici/lib/dispatcher/client.js");
--- a/examples/embed/src/index.ts
+++ b/examples/embed/src/index.ts
@@ -1,3 +1,7 @@
+/**
+ * A replicated counter built on `@chutewick/parts`: three members in one process, a loop that delivers the messages, and a
+ * simulated disk whose writes complete immediately. Run it with `npm run example`.
+ */
 import {
   Chain,
   type ChainCommand,
@@ -8,35 +12,33 @@
   type Member,
 } from "@chutewick/parts";
 
-/**
- * A replicated counter out of `@chutewick/parts`: three members in one process, messages handed over by a loop,
- * "disk" that is synced at once. Run it: `npm run example`.
- */
-interface Add {
+/** Command of the counter; a read adds nothing. */
+interface CounterCommand {
   readonly kind: "add" | "read";
   readonly amount: number;
 }
 
-/** Any deterministic machine over a ledger can be replicated. */
+/** The replicated state machine: any deterministic one that keeps its records in a ledger can be used. */
 class Counter implements StateMachine {
   rebuild(): void {
-    // Nothing is derived from the records.
+    // The counter keeps no state that is derived from the ledger.
   }
 
   apply(ledger: Ledger, command: unknown): number {
-    const { kind, amount } = command as Add;
+    const { kind, amount } = command as CounterCommand;
     const sum = (ledger.read<number>("sum") ?? 0) + (kind === "add" ? amount : 0);
     if (kind === "add") ledger.put("sum", sum);
     return sum;
   }
 }
 
+/** A replication group whose members run in one process. */
 export class Group {
   readonly members: Member[] = [];
   #chains = new Map<string, Chain>();
   #results = new Map<string, unknown>();
-  #alive = new Set<string>();
-  #now = 0;
+  #running = new Set<string>();
+  #time = 0;
   #ticket = 0;
   #queue: { to: string; from: string; message: ChainMessage }[] = [];
 
@@ -44,38 +46,38 @@
     for (const name of names) {
       const member = { identity: name, address: name };
       this.members.push(member);
-      this.#alive.add(name);
-      this.#chains.set(name, new Chain("counter", member, new Counter(), this.#now));
+      this.#running.add(name);
+      this.#chains.set(name, new Chain("counter", member, new Counter(), this.#time));
     }
     this.adopt({ mark: 1, members: this.members });
   }
 
-  /** A view comes from whoever decides views; here, from the caller. */
+  /** Installs a view at all running members. The application decides on views; here it is the caller. */
   adopt(view: ChainView): void {
     for (const [name, chain] of this.#chains)
-      if (this.#alive.has(name)) this.#perform(name, chain.adopt(view, this.#now));
-    this.#settle();
+      if (this.#running.has(name)) this.#perform(name, chain.adopt(view, this.#time));
+    this.#deliverMessages();
   }
 
   stop(name: string): void {
-    this.#alive.delete(name);
+    this.#running.delete(name);
   }
 
-  /** What became of a request at a member: its result, or undefined where it was not confirmed. */
-  inquire(name: string, command: Add): unknown {
+  /** Executes a command at a member; returns its result, or undefined if the command was not committed. */
+  inquire(name: string, command: CounterCommand): unknown {
     this.#ticket += 1;
     const ticket = String(this.#ticket);
-    this.#perform(name, this.#chains.get(name)!.execute(ticket, command, this.#now));
-    this.#settle();
+    this.#perform(name, this.#chains.get(name)!.execute(ticket, command, this.#time));
+    this.#deliverMessages();
     return this.#results.get(ticket);
   }
 
-  #settle(): void {
+  #deliverMessages(): void {
     while (this.#queue.length > 0) {
       const { to, from, message } = this.#queue.shift()!;
-      this.#now += 1;
-      if (this.#alive.has(to))
-        this.#perform(to, this.#chains.get(to)!.receive(message, from, this.#now));
+      this.#time += 1;
+      if (this.#running.has(to))
+        this.#perform(to, this.#chains.get(to)!.receive(message, from, this.#time));
     }
   }
 
@@ -84,9 +86,9 @@
     for (const command of commands) {
       if (command.kind === "send")
         this.#queue.push({ to: command.to, from: name, message: command.message });
-      /** A real program syncs `command.write` first, and calls `writeCompleted` only then. */
+      // A real program syncs `command.write` to disk before it calls `writeCompleted`.
       else if (command.kind === "write")
-        this.#perform(name, chain.writeCompleted(command.ticket, this.#now));
+        this.#perform(name, chain.writeCompleted(command.ticket, this.#time));
       else if (command.kind === "result" && command.result.kind === "confirmed")
         this.#results.set(command.ticket, command.result.value);
     }
--- a/programs/access/src/index.ts
+++ b/programs/access/src/index.ts
@@ -2,9 +2,9 @@
 import { command } from "cmd-ts";
 import { flags, run } from "@chutewick/shell";
 
-/** Thin program: an access node. */
-function start(given: Parameters<typeof run>[2]): Promise<void> {
-  return run("access", false, given, AccessProcess.open);
+/** Runs an access node in this process. */
+function start(args: Parameters<typeof run>[2]): Promise<void> {
+  return run("access", false, args, AccessProcess.open);
 }
 
 export const access = command({
--- a/programs/chutewick/src/index.ts
+++ b/programs/chutewick/src/index.ts
@@ -1,4 +1,5 @@
 #!/usr/bin/env node
+/** Entry point of the `chutewick` command: runs the programs and holds the commands of operators. */
 import { access } from "@chutewick/access";
 import { control } from "@chutewick/control-program";
 import { storage } from "@chutewick/storage";
--- a/programs/chutewick/src/operate.ts
+++ b/programs/chutewick/src/operate.ts
@@ -1,3 +1,4 @@
+/** Commands of operators, which call the HTTP API of any control machine (docs/operating.md). */
 import { readFileSync } from "node:fs";
 import { configuration } from "@chutewick/control";
 import { outcome, type Outcome } from "@chutewick/parts";
@@ -15,19 +16,18 @@
 } from "cmd-ts";
 import { request } from "undici";
 
-/** What operators do, over HTTP with any control machine (docs/operating.md). */
 const controlFlag = option({
   type: string,
   long: "control",
   env: "CHUTEWICK_CONTROL",
   description: "control machines, IP:port over HTTP, with commas between",
 });
-const markFlag = option({
+const versionFlag = option({
   type: optional(number),
   long: "mark",
   description: "only if the configuration still has this mark",
 });
-const filePosition = positional({
+const filePositional = positional({
   type: string,
   displayName: "file",
   description: "JSON file, or - for standard input",
@@ -56,38 +56,42 @@
   }
 }
 
-interface Told {
+/** Reply of a control machine or of another process. */
+interface HttpReply {
   readonly status: number;
   readonly body: Record<string, unknown>;
 }
 
-/** Goes to the next control machine only if this one surely did not take it. */
-async function ask(
+/**
+ * Sends a request to the listed control machines in turn until one answers. After a connection error the next machine is tried
+ * only if the request cannot have taken effect or is a read; a reply with status 503 means that it took no effect.
+ */
+async function sendRequest(
   control: string,
   method: "GET" | "PUT" | "PATCH" | "POST" | "DELETE",
   path: string,
   body?: unknown,
-  mark?: number,
-): Promise<Outcome<Told>> {
+  expectedVersion?: number,
+): Promise<Outcome<HttpReply>> {
   let reason = "no control machine was named";
   for (const address of control.split(",")) {
     try {
-      const told = await request(`http://${address}${path}`, {
+      const response = await request(`http://${address}${path}`, {
         method,
         headersTimeout: 10_000,
         bodyTimeout: 10_000,
         headers: {
           "content-type": "application/json",
-          ...(mark === undefined ? {} : { "if-match": `"${mark}"` }),
+          ...(expectedVersion === undefined ? {} : { "if-match": `"${expectedVersion}"` }),
         },
         ...(body === undefined ? {} : { body: JSON.stringify(body) }),
       });
-      const read = (await told.body.json()) as Record<string, unknown>;
-      if (told.statusCode === 503) {
-        reason = String(read["reason"]);
+      const reply = (await response.body.json()) as Record<string, unknown>;
+      if (response.statusCode === 503) {
+        reason = String(reply["reason"]);
         continue;
       }
-      return outcome.success({ status: told.statusCode, body: read });
+      return outcome.success({ status: response.statusCode, body: reply });
     } catch (error) {
       const { code, message } = error as Error & { code?: string };
       reason = `${address}: ${message}`;
@@ -98,41 +102,52 @@
   return outcome.failure(reason);
 }
 
-/** Exit codes: 0 done, 1 could not be done or is not known, 2 bad input, 3 refused, 4 lost to another change. */
-async function carry(
+/**
+ * Sends a request and prints the reply. Exit codes: 0 success, 1 failure or unknown outcome, 2 invalid input, 3 rejected,
+ * 4 conflict with another change.
+ */
+async function requestAndPrint(
   control: string,
   method: "GET" | "PUT" | "PATCH" | "POST" | "DELETE",
   path: string,
   body?: unknown,
-  mark?: number,
+  expectedVersion?: number,
 ): Promise<void> {
-  const told = await ask(control, method, path, body, mark);
-  if (!told.ok) fail(1, told.reason);
-  print(told.value.body);
-  const { status } = told.value;
+  const reply = await sendRequest(control, method, path, body, expectedVersion);
+  if (!reply.ok) fail(1, reply.reason);
+  print(reply.value.body);
+  const { status } = reply.value;
   if (status >= 400)
     fail(
       status === 409 ? 4 : status === 422 || status === 400 || status === 404 ? 3 : 1,
-      String(told.value.body["reason"]),
+      String(reply.value.body["reason"]),
     );
 }
 
-function check(given: { file: string }): void {
-  const checked = configuration.check(readInput(given.file));
-  if (!checked.ok) fail(3, checked.reason);
-  print({ good: true, warnings: configuration.warnings(checked.value) });
+function checkFile(args: { file: string }): void {
+  const validation = configuration.check(readInput(args.file));
+  if (!validation.ok) fail(3, validation.reason);
+  print({ good: true, warnings: configuration.warnings(validation.value) });
 }
 
-function get(given: { control: string }): Promise<void> {
-  return carry(given.control, "GET", "/configuration");
+function getConfiguration(args: { control: string }): Promise<void> {
+  return requestAndPrint(args.control, "GET", "/configuration");
 }
 
-function put(given: { control: string; file: string; mark: number | undefined }): Promise<void> {
-  return carry(given.control, "PUT", "/configuration", readInput(given.file), given.mark);
+function putConfiguration(args: {
+  control: string;
+  file: string;
+  mark: number | undefined;
+}): Promise<void> {
+  return requestAndPrint(args.control, "PUT", "/configuration", readInput(args.file), args.mark);
 }
 
-function patch(given: { control: string; file: string; mark: number | undefined }): Promise<void> {
-  return carry(given.control, "PATCH", "/configuration", readInput(given.file), given.mark);
+function patchConfiguration(args: {
+  control: string;
+  file: string;
+  mark: number | undefined;
+}): Promise<void> {
+  return requestAndPrint(args.control, "PATCH", "/configuration", readInput(args.file), args.mark);
 }
 
 export const configurationCommands = subcommands({
@@ -141,55 +156,54 @@
     check: command({
       name: "check",
       description: "check a file without entering it",
-      args: { file: filePosition },
-      handler: check,
+      args: { file: filePositional },
+      handler: checkFile,
     }),
     get: command({
       name: "get",
       description: "the configuration in force and its mark",
       args: { control: controlFlag },
-      handler: get,
+      handler: getConfiguration,
     }),
     put: command({
       name: "put",
       description: "enter a whole configuration",
-      args: { control: controlFlag, file: filePosition, mark: markFlag },
-      handler: put,
+      args: { control: controlFlag, file: filePositional, mark: versionFlag },
+      handler: putConfiguration,
     }),
     patch: command({
       name: "patch",
       description: "enter a small change; null takes a key away",
-      args: { control: controlFlag, file: filePosition, mark: markFlag },
-      handler: patch,
+      args: { control: controlFlag, file: filePositional, mark: versionFlag },
+      handler: patchConfiguration,
     }),
   },
 });
 
-function label(given: {
+function changeLabels(args: {
   control: string;
   kind: string;
   name: string;
   labels: string[];
   mark: number | undefined;
 }): Promise<void> {
-  const [model, adapter] =
-    given.kind === "adapter" ? given.name.split(".") : [given.name, undefined];
-  if (given.kind === "adapter" && (adapter === undefined || model === ""))
-    fail(2, `${given.name}: an adapter is named model.adapter`);
-  if (given.kind !== "way" && given.kind !== "model" && given.kind !== "adapter")
+  const [model, adapter] = args.kind === "adapter" ? args.name.split(".") : [args.name, undefined];
+  if (args.kind === "adapter" && (adapter === undefined || model === ""))
+    fail(2, `${args.name}: an adapter is named model.adapter`);
+  if (args.kind !== "way" && args.kind !== "model" && args.kind !== "adapter")
     fail(2, "labels are put on a way, a model or an adapter; runners and lots bring their own");
   const labels: Record<string, string | null> = {};
-  for (const text of given.labels) {
-    const cut = text.indexOf("=");
-    if (cut > 0) labels[text.slice(0, cut)] = text.slice(cut + 1);
+  for (const text of args.labels) {
+    const separator = text.indexOf("=");
+    if (separator > 0) labels[text.slice(0, separator)] = text.slice(separator + 1);
     else if (text.endsWith("-") && text.length > 1) labels[text.slice(0, -1)] = null;
     else fail(2, `${text}: must be key=value, or key- to take it away`);
   }
   const change =
     adapter === undefined
-      ? { [`${given.kind}s`]: { [given.name]: { labels } } }
+      ? { [`${args.kind}s`]: { [args.name]: { labels } } }
       : { models: { [model]: { adapterLabels: { [adapter]: labels } } } };
-  return carry(given.control, "PATCH", "/configuration", change, given.mark);
+  return requestAndPrint(args.control, "PATCH", "/configuration", change, args.mark);
 }
 
 export const labelCommand = command({
@@ -198,29 +212,29 @@
     "label a way, a model or an adapter (model.adapter): key=value, or key- to take a label away",
   args: {
     control: controlFlag,
-    mark: markFlag,
+    mark: versionFlag,
     kind: positional({ type: string, displayName: "way|model|adapter" }),
     name: positional({ type: string, displayName: "name" }),
     labels: restPositionals({ type: string, displayName: "key=value" }),
   },
-  handler: label,
+  handler: changeLabels,
 });
 
-/** key=value, key=one,other, key or !key */
-function readSelector(text: string): unknown {
-  const cut = text.indexOf("=");
-  if (cut > 0) {
-    const values = text.slice(cut + 1).split(",");
+/** Parses a label selector: `key=value`, `key=one,other`, `key` (label exists) or `!key` (label does not exist). */
+function parseSelector(text: string): unknown {
+  const separator = text.indexOf("=");
+  if (separator > 0) {
+    const values = text.slice(separator + 1).split(",");
     return values.length === 1
-      ? { label: text.slice(0, cut), equals: values[0] }
-      : { label: text.slice(0, cut), in: values };
+      ? { label: text.slice(0, separator), equals: values[0] }
+      : { label: text.slice(0, separator), in: values };
   }
   return text.startsWith("!")
     ? { label: text.slice(1), exists: false }
     : { label: text, exists: true };
 }
 
-interface SeasonGiven {
+interface SeasonArguments {
   control: string;
   start: string;
   end: string;
@@ -233,56 +247,58 @@
   lasts: number | undefined;
 }
 
-function seasonOf(given: SeasonGiven): Record<string, unknown> {
+function buildSeason(args: SeasonArguments): Record<string, unknown> {
   const select: unknown[] = [];
-  for (const text of given.select) select.push(readSelector(text));
+  for (const text of args.select) select.push(parseSelector(text));
   const runners: unknown[] = [];
-  for (const text of given.runners) runners.push(readSelector(text));
+  for (const text of args.runners) runners.push(parseSelector(text));
   const season: Record<string, unknown> = {
-    start: given.start,
-    end: given.end,
+    start: args.start,
+    end: args.end,
     select,
     runners,
-    waiting: given.waiting,
+    waiting: args.waiting,
   };
   for (const [key, value] of Object.entries({
-    calendar: given.calendar,
-    zone: given.zone,
-    lastsMinutes: given.lasts,
+    calendar: args.calendar,
+    zone: args.zone,
+    lastsMinutes: args.lasts,
   }))
     if (value !== undefined) season[key] = value;
-  if (given.bucket !== undefined) {
-    const [tokens, windowSeconds, capacity] = given.bucket.split("/").map(Number);
+  if (args.bucket !== undefined) {
+    const [tokens, windowSeconds, capacity] = args.bucket.split("/").map(Number);
     season["bucket"] = { tokens, windowSeconds, capacity };
   }
   return season;
 }
 
-function seasonPut(given: SeasonGiven & { mark: number | undefined; name: string }): Promise<void> {
-  return carry(
-    given.control,
+function putSeason(
+  args: SeasonArguments & { mark: number | undefined; name: string },
+): Promise<void> {
+  return requestAndPrint(
+    args.control,
     "PATCH",
     "/configuration",
-    { seasons: { [given.name]: seasonOf(given) } },
-    given.mark,
+    { seasons: { [args.name]: buildSeason(args) } },
+    args.mark,
   );
 }
 
-function seasonRemove(given: {
+function removeSeason(args: {
   control: string;
   mark: number | undefined;
   name: string;
 }): Promise<void> {
-  return carry(
-    given.control,
+  return requestAndPrint(
+    args.control,
     "PATCH",
     "/configuration",
-    { seasons: { [given.name]: null } },
-    given.mark,
+    { seasons: { [args.name]: null } },
+    args.mark,
   );
 }
 
-function seasonExplain(given: {
+function explainSeasons(args: {
   control: string;
   way: string | undefined;
   model: string | undefined;
@@ -291,20 +307,20 @@
 }): Promise<void> {
   const query = new URLSearchParams();
   for (const [key, value] of Object.entries({
-    way: given.way,
-    model: given.model,
-    adapter: given.adapter,
+    way: args.way,
+    model: args.model,
+    adapter: args.adapter,
   }))
     if (value !== undefined) query.set(key, value);
-  if (given.labels.length > 0) query.set("labels", given.labels.join(","));
-  return carry(given.control, "GET", `/seasons/explain?${query.toString()}`);
+  if (args.labels.length > 0) query.set("labels", args.labels.join(","));
+  return requestAndPrint(args.control, "GET", `/seasons/explain?${query.toString()}`);
 }
 
-function seasonPreview(given: SeasonGiven): Promise<void> {
-  return carry(given.control, "POST", "/seasons/preview", seasonOf(given));
+function previewSeason(args: SeasonArguments): Promise<void> {
+  return requestAndPrint(args.control, "POST", "/seasons/preview", buildSeason(args));
 }
 
-const seasonName = positional({ type: string, displayName: "name" });
+const namePositional = positional({ type: string, displayName: "name" });
 
 const seasonFlags = {
   control: controlFlag,
@@ -354,25 +370,25 @@
     put: command({
       name: "put",
       description: "enter or change a season",
-      handler: seasonPut,
-      args: { ...seasonFlags, mark: markFlag, name: seasonName },
+      handler: putSeason,
+      args: { ...seasonFlags, mark: versionFlag, name: namePositional },
     }),
     preview: command({
       name: "preview",
       description: "what a season would select, without entering it",
-      handler: seasonPreview,
+      handler: previewSeason,
       args: seasonFlags,
     }),
     remove: command({
       name: "remove",
       description: "take a season away",
-      args: { control: controlFlag, mark: markFlag, name: seasonName },
-      handler: seasonRemove,
+      args: { control: controlFlag, mark: versionFlag, name: namePositional },
+      handler: removeSeason,
     }),
     explain: command({
       name: "explain",
       description: "what holds now for lots of a way, or of a model or adapter, and why",
-      handler: seasonExplain,
+      handler: explainSeasons,
       args: {
         control: controlFlag,
         way: option({ type: optional(string), long: "way" }),
@@ -388,15 +404,23 @@
   },
 });
 
-function empty(given: { control: string; identity: string }): Promise<void> {
-  return carry(given.control, "POST", `/machines/${encodeURIComponent(given.identity)}/emptying`);
+function startDrain(args: { control: string; identity: string }): Promise<void> {
+  return requestAndPrint(
+    args.control,
+    "POST",
+    `/machines/${encodeURIComponent(args.identity)}/emptying`,
+  );
 }
 
-function keep(given: { control: string; identity: string }): Promise<void> {
-  return carry(given.control, "DELETE", `/machines/${encodeURIComponent(given.identity)}/emptying`);
+function cancelDrain(args: { control: string; identity: string }): Promise<void> {
+  return requestAndPrint(
+    args.control,
+    "DELETE",
+    `/machines/${encodeURIComponent(args.identity)}/emptying`,
+  );
 }
 
-const identityPosition = positional({ type: string, displayName: "identity" });
+const identityPositional = positional({ type: string, displayName: "identity" });
 
 export const machineCommands = subcommands({
   name: "machine",
@@ -404,34 +428,39 @@
     empty: command({
       name: "empty",
       description: "move all queues off a storage machine",
-      args: { control: controlFlag, identity: identityPosition },
-      handler: empty,
+      args: { control: controlFlag, identity: identityPositional },
+      handler: startDrain,
     }),
     keep: command({
       name: "keep",
       description: "call the emptying off",
-      args: { control: controlFlag, identity: identityPosition },
-      handler: keep,
+      args: { control: controlFlag, identity: identityPositional },
+      handler: cancelDrain,
     }),
   },
 });
 
-/** Of every process that control knows, and of the control machines named. */
-async function readMetrics(given: { control: string; node: string | undefined }): Promise<void> {
-  const told = await ask(given.control, "GET", "/status");
-  if (!told.ok) fail(1, told.reason);
+/** Prints the metrics of every process that is registered with control and of the given control machines. */
+async function printMetrics(args: { control: string; node: string | undefined }): Promise<void> {
+  const reply = await sendRequest(args.control, "GET", "/status");
+  if (!reply.ok) fail(1, reply.reason);
   const addresses = new Map<string, string>();
-  for (const address of given.control.split(",")) addresses.set(`control ${address}`, address);
-  for (const { identity, http } of told.value.body["nodes"] as { identity: string; http: string }[])
+  for (const address of args.control.split(",")) addresses.set(`control ${address}`, address);
+  for (const { identity, http } of reply.value.body["nodes"] as {
+    identity: string;
+    http: string;
+  }[])
     addresses.set(identity, http);
-  const all: Record<string, unknown> = {};
+  const metricsByProcess: Record<string, unknown> = {};
   for (const [name, address] of addresses) {
-    if (given.node !== undefined && !name.includes(given.node)) continue;
-    const read = await ask(address, "GET", "/metrics");
-    all[name] = read.ok ? read.value.body : { trouble: "unreachable", reason: read.reason };
+    if (args.node !== undefined && !name.includes(args.node)) continue;
+    const metrics = await sendRequest(address, "GET", "/metrics");
+    metricsByProcess[name] = metrics.ok
+      ? metrics.value.body
+      : { trouble: "unreachable", reason: metrics.reason };
   }
-  if (Object.keys(all).length === 0) fail(3, `${given.node}: no process is named so`);
-  print(all);
+  if (Object.keys(metricsByProcess).length === 0) fail(3, `${args.node}: no process is named so`);
+  print(metricsByProcess);
 }
 
 export const metricsCommand = command({
@@ -439,16 +468,16 @@
   description:
     "counts and histograms of the whole fleet, or of the processes whose name has a text in it",
   args: { control: controlFlag, node: option({ type: optional(string), long: "node" }) },
-  handler: readMetrics,
+  handler: printMetrics,
 });
 
-function status(given: { control: string }): Promise<void> {
-  return carry(given.control, "GET", "/status");
+function printStatus(args: { control: string }): Promise<void> {
+  return requestAndPrint(args.control, "GET", "/status");
 }
 
 export const statusCommand = command({
   name: "status",
   description: "members, view, queues, runners",
   args: { control: controlFlag },
-  handler: status,
+  handler: printStatus,
 });
--- a/programs/control/src/index.ts
+++ b/programs/control/src/index.ts
@@ -2,9 +2,9 @@
 import { command } from "cmd-ts";
 import { flags, run } from "@chutewick/shell";
 
-/** Thin program: a control machine. */
-function start(given: Parameters<typeof run>[2]): Promise<void> {
-  return run("control", true, given, ControlProcess.open);
+/** Runs a control machine in this process. */
+function start(args: Parameters<typeof run>[2]): Promise<void> {
+  return run("control", true, args, ControlProcess.open);
 }
 
 export const control = command({
--- a/programs/storage/src/index.ts
+++ b/programs/storage/src/index.ts
@@ -2,9 +2,9 @@
 import { command } from "cmd-ts";
 import { flags, run } from "@chutewick/shell";
 
-/** Thin program: a storage machine. */
-function start(given: Parameters<typeof run>[2]): Promise<void> {
-  return run("storage", true, given, StorageProcess.open);
+/** Runs a storage machine in this process. */
+function start(args: Parameters<typeof run>[2]): Promise<void> {
+  return run("storage", true, args, StorageProcess.open);
 }
 
 export const storage = command({
