--- a/packages/control/src/pace.ts
+++ b/packages/control/src/pace.ts
@@ -163,8 +163,9 @@
   }
 
   /**
-   * The share of capacity that interactive requests leave free on the runners of a model, as a level. It falls at once and
-   * rises one level at a time, only after the free capacity has lasted.
+   * The throttle level of a model: the fraction of its runners' capacity that interactive requests leave free, in steps. It is
+   * lowered immediately, and raised one level at a time once the free capacity has lasted for `throttleHoldMs`, or for half of
+   * that for each further level.
    */
   #throttleLevel(
     model: string,
@@ -324,12 +325,12 @@
     if (current === undefined) continue;
     const report = context.reports.get(queue);
     const reported = report?.classes.get(season)?.held ?? 0;
-    const known =
+    const currentGrant =
       report !== undefined && report.shareMark === context.queueQuotas.get(queue)!.shareMark
         ? Math.max(current.target, Math.min(current.granted, reported))
         : current.granted;
-    granted.set(queue, known);
-    committed += known;
+    granted.set(queue, currentGrant);
+    committed += currentGrant;
   }
   let free = Math.max(0, allowance - committed);
   for (const { queue, season, select, runners, wanted } of demands) {
--- a/packages/data/src/choice.ts
+++ b/packages/data/src/choice.ts
@@ -380,7 +380,7 @@
     state.troubles = 0;
     state.reading -= attempt.prefillMs ?? 0;
     const elapsed = now - attempt.startedAt;
-    if (!attempt.item) this.#countFirstSign(attempt.expected, elapsed);
+    if (!attempt.item) this.#countFirstOutput(attempt.expected, elapsed);
     if (attempt.prefillMs === undefined)
       state.typicalFirstOutputMs +=
         (elapsed - state.typicalFirstOutputMs) * constants.speedSmoothingFactor;
@@ -398,7 +398,7 @@
     if (attempt.shared !== undefined) this.#rememberPrefill(attempt.shared, state.card.id, now);
   }
 
-  #countFirstSign(expected: number, elapsed: number): void {
+  #countFirstOutput(expected: number, elapsed: number): void {
     this.counts.firstSigns += 1;
     this.counts.firstSignsExpected += expected;
     this.counts.firstSignsTook += elapsed;
@@ -523,7 +523,7 @@
       split.shortRunners = Number.POSITIVE_INFINITY;
     else {
       const needed = split.shortLoad / (seats / states.length) / constants.shortPromptSlotFraction;
-      // Hysteresis: a change moves the homes of shared parts, and nodes may differ on it for a while.
+      // Hysteresis: a change assigns shared parts to other runners, and nodes may disagree on the number for a while.
       if (
         needed > split.shortRunners + constants.maxShortRunnerDeficit ||
         needed < split.shortRunners - constants.maxShortRunnerSurplus ||
@@ -614,7 +614,10 @@
   }
 }
 
-/** Slots taken as an attempt sees them. Items yield to live requests at some cost, so a live request counts them in part. */
+/**
+ * Slots taken, as counted for an item or for a live request. Runners displace items for live requests, which has a cost, so an item
+ * counts as a fraction of a slot for a live request.
+ */
 function slotsTaken(state: RunnerState, item: boolean): number {
   return (
     state.live +
@@ -623,7 +626,7 @@
   );
 }
 
-/** Part of a runner's slots that items may fill: less at runners for short live requests, which would displace them. */
+/** Fraction of a runner's slots that items may fill: less at runners for short live requests, because those displace items. */
 function itemSlotPart(state: RunnerState, isPartitioned: boolean): number {
   return isPartitioned && !state.servesLong
     ? constants.itemSlotFractionOnShortRunners
--- a/packages/data/src/pass-draw.ts
+++ b/packages/data/src/pass-draw.ts
@@ -33,8 +33,8 @@
 import { SleepDetector } from "./sleep-detector.js";
 import { weightedKey } from "./weighted-choice.js";
 
-/** Statuses below this one indicate success. */
-const HTTP_REDIRECT = 300;
+/** First HTTP status of the redirects; lower ones indicate success. */
+const firstRedirectStatus = 300;
 
 /** State of this node's dequeue requests to one queue. */
 interface QueueState {
@@ -150,7 +150,7 @@
   /** Whether the runner makes no progress on any request of this node: it is unresponsive, or the connection is dead. */
   #isStalled(number: number, { job }: ItemAttempt, now: number): boolean {
     const silence = now - job.lastProgressAt;
-    // After this process was suspended, received events may still be unread.
+    // Just after this process was suspended, events that arrived meanwhile may not have been read yet.
     const isAwake = this.#sleepDetector.awakeFor(now) > constants.rescueDelayMs;
     return (
       isAwake &&
@@ -159,7 +159,7 @@
     );
   }
 
-  /** A pool that serves several passages counts once. */
+  /** Capacity for items on the runners of all passages; a pool that serves several passages counts once. */
   #freeCapacity(now: number): ItemCapacity {
     const able: string[] = [];
     const roomByPool = new Map<string, number>();
@@ -217,7 +217,7 @@
       most: Math.min(room, constants.maxItemsPerDraw),
       able,
     } as const;
-    // Longer than a grant is valid: an item granted too late to start still has to be returned.
+    // Longer than the duration of a grant: an item whose grant arrives too late must still be received, to be returned to the queue.
     const patience = constants.orphanTimeoutMs;
     const call = { queue: state.queue, command, patience, hold: constants.drawHoldMs, onResult };
     return this.#pendingCalls.start(call, now);
@@ -261,7 +261,7 @@
   #tryNextRunner(job: ItemJob, now: number): AccessOutput[] {
     const passage = this.#passage(job.task.way);
     if (passage === undefined || !this.#mayTry(job, now))
-      return this.#settle(job, { kind: "unsent" }, now);
+      return this.#reportEnding(job, { kind: "unsent" }, now);
     this.#poolChoices += 1;
     const seed = `${this.#membership.identity}/${this.#poolChoices}`;
     for (const pool of poolsByWeight(passage, seed)) {
@@ -270,7 +270,7 @@
     }
     const state = this.#stateOf(job.queue);
     state.resumeAt = Math.max(state.resumeAt, now + constants.emptyQueuePauseMs);
-    return this.#settle(job, { kind: "unsent" }, now);
+    return this.#reportEnding(job, { kind: "unsent" }, now);
   }
 
   #mayTry({ grantedUntil, triedRunners, task }: ItemJob, now: number): boolean {
@@ -307,7 +307,7 @@
         return this.#tryNextRunner(attempt.job, now);
       case "head":
         attempt.status = event.status;
-        if (event.status < HTTP_REDIRECT && !event.stamped)
+        if (event.status < firstRedirectStatus && !event.stamped)
           return this.#abandon(number, attempt, now);
         return [];
       case "data":
@@ -345,7 +345,7 @@
 
   #end(number: number, job: ItemJob, { how, ending }: AttemptEnd, now: number): AccessOutput[] {
     this.#removeAttempt(number, how, undefined, now);
-    const outputs = this.#settle(job, ending, now);
+    const outputs = this.#reportEnding(job, ending, now);
     if (this.#membership.holds(now)) outputs.push(...this.#dequeue(this.#stateOf(job.queue), now));
     return outputs;
   }
@@ -361,7 +361,7 @@
     this.#choice.recordEnd(number, how, retryAfter, now);
   }
 
-  #settle(job: ItemJob, ending: PassEnding, now: number): AccessOutput[] {
+  #reportEnding(job: ItemJob, ending: PassEnding, now: number): AccessOutput[] {
     if (ending.kind === "solved") this.counts.solved += 1;
     else if (ending.kind === "never") this.counts.never += 1;
     else if (ending.kind === "trouble") this.counts.troubled += 1;
@@ -392,7 +392,7 @@
     }
   }
 
-  /** Heartbeats for all claims. Runners report only on themselves, so this node vouches for its items (docs/design.md §5.4). */
+  /** Heartbeats for all claims. Runners send heartbeats only for themselves, so this node sends those of the items (docs/design.md §5.4). */
   #heartbeats(): AccessOutput[] {
     const outputs: AccessOutput[] = [];
     for (const [queue, claims] of groupByQueue(this.#claims()))
--- a/packages/parts/src/chain.ts
+++ b/packages/parts/src/chain.ts
@@ -207,7 +207,7 @@
   #sourceIndex: number | undefined;
   /** When this learner was last known to be caught up with its source; expires if it is not renewed. */
   #caughtUpAt = 0;
-  /** Set if the changes of some entries are unknown, so that all records are published as a whole at the next consistent state. */
+  /** Set if the changes of some entries are unknown: all records are then published together, once every applied entry is committed in a view that can commit. */
   #needsFullPublish = false;
 
   /** Replicas on which an entry must be durable to be committed: one more than may be lost at once (docs/design.md §13.3). */
@@ -448,11 +448,11 @@
     return this.#write(false, changes, [entry], this.#prune(), now);
   }
 
-  /** Drops committed entries that the learner no longer needs from memory; returns their indexes, to be deleted from disk too. */
+  /** Removes from memory the committed entries that the learner no longer needs; returns their indexes, so that they are deleted from disk too. */
   #prune(): number[] {
-    const floor = Math.min(this.#commitIndex, this.#learnerIndex ?? this.#commitIndex);
+    const lastPrunableIndex = Math.min(this.#commitIndex, this.#learnerIndex ?? this.#commitIndex);
     const dropped: number[] = [];
-    while (this.#entries.length > 0 && this.#entries[0]!.place <= floor)
+    while (this.#entries.length > 0 && this.#entries[0]!.place <= lastPrunableIndex)
       dropped.push(this.#entries.shift()!.place);
     return dropped;
   }
@@ -580,10 +580,10 @@
 
   /** Resends entries after an index, message by message as each is acknowledged; does not restart the timer of a slow successor. */
   #resendEntries(to: Member, after: number, now: number): ChainCommand[] {
-    const since = this.#ackedIndex < this.#sentIndex ? this.#ackedAt : now;
+    const previousAckedAt = this.#ackedIndex < this.#sentIndex ? this.#ackedAt : now;
     this.#sentIndex = after;
     const commands = this.#sendEntries(to, after, now);
-    this.#ackedAt = since;
+    this.#ackedAt = previousAckedAt;
     return commands;
   }
 
@@ -808,10 +808,10 @@
     );
     const sent = this.#sendEntriesToLearner(learner);
     this.#learnerRequests += 1;
-    const isCloseBehind =
+    const shouldGateCommit =
       this.#learnerSentIndex >= this.#durableIndex ||
       this.#learnerRequests > constants.learnerRequestsBeforeThrottling;
-    if (!isCloseBehind && !this.#learnerGatesCommit) return sent;
+    if (!shouldGateCommit && !this.#learnerGatesCommit) return sent;
     if (!this.#learnerGatesCommit) this.#learnerAckedAt = now;
     this.#learnerGatesCommit = true;
     return [
@@ -831,7 +831,7 @@
     if (isSameMember(this.#view!.joiner, to)) {
       this.#learnerIndex = this.#lastIndex;
       this.#learnerSentIndex = this.#lastIndex;
-      // An empty copy is complete at once.
+      // An empty ledger has no records to copy, so the learner's copy counts as complete immediately.
       if (this.#lastIndex === 0 && !this.#learnerGatesCommit) {
         this.#learnerGatesCommit = true;
         this.#learnerAckedAt = now;
@@ -863,18 +863,18 @@
 
   #sendPieces(): ChainCommand[] {
     const commands: ChainCommand[] = [];
-    const sending = this.#outgoingSnapshot;
-    if (sending === undefined) return commands;
-    const { to, pieces } = sending;
+    const outgoing = this.#outgoingSnapshot;
+    if (outgoing === undefined) return commands;
+    const { to, pieces } = outgoing;
     const upTo = Math.min(
       pieces.length,
-      sending.sendsNoAcks
-        ? sending.sent + constants.maxSnapshotPiecesPerTick
-        : sending.acknowledged.size + constants.maxSnapshotPiecesInFlight,
+      outgoing.sendsNoAcks
+        ? outgoing.sent + constants.maxSnapshotPiecesPerTick
+        : outgoing.acknowledged.size + constants.maxSnapshotPiecesInFlight,
     );
-    for (; sending.sent < upTo; sending.sent += 1)
-      commands.push(this.#send(to, pieces[sending.sent]!));
-    if (sending.sendsNoAcks && sending.sent === pieces.length) this.#outgoingSnapshot = undefined;
+    for (; outgoing.sent < upTo; outgoing.sent += 1)
+      commands.push(this.#send(to, pieces[outgoing.sent]!));
+    if (outgoing.sendsNoAcks && outgoing.sent === pieces.length) this.#outgoingSnapshot = undefined;
     return commands;
   }
 
@@ -883,18 +883,18 @@
    * snapshot would be restarted again and again (docs/design.md §1.8).
    */
   #receivePieceAck(series: number, part: number, from: string, now: number): ChainCommand[] {
-    const sending = this.#outgoingSnapshot;
+    const outgoing = this.#outgoingSnapshot;
     if (
-      sending === undefined ||
+      outgoing === undefined ||
       series !== this.#snapshotSeries ||
-      sending.to.address !== from ||
-      sending.acknowledged.has(part)
+      outgoing.to.address !== from ||
+      outgoing.acknowledged.has(part)
     )
       return [];
-    sending.acknowledged.add(part);
-    sending.at = now;
-    sending.sendsNoAcks = false;
-    if (sending.acknowledged.size === sending.pieces.length) this.#outgoingSnapshot = undefined;
+    outgoing.acknowledged.add(part);
+    outgoing.at = now;
+    outgoing.sendsNoAcks = false;
+    if (outgoing.acknowledged.size === outgoing.pieces.length) this.#outgoingSnapshot = undefined;
     return this.#sendPieces();
   }
 
@@ -903,20 +903,20 @@
    * fixed number with each tick.
    */
   #resendPieces(now: number): ChainCommand[] {
-    const sending = this.#outgoingSnapshot;
-    if (sending === undefined || sending.sendsNoAcks) return this.#sendPieces();
-    if (now - sending.at < constants.resendDelayMs * (sending.acknowledged.size === 0 ? 6 : 2))
+    const outgoing = this.#outgoingSnapshot;
+    if (outgoing === undefined || outgoing.sendsNoAcks) return this.#sendPieces();
+    if (now - outgoing.at < constants.resendDelayMs * (outgoing.acknowledged.size === 0 ? 6 : 2))
       return [];
-    sending.at = now;
+    outgoing.at = now;
     const commands: ChainCommand[] = [];
-    if (sending.acknowledged.size === 0) {
-      sending.sendsNoAcks = true;
-      sending.sent = 0;
+    if (outgoing.acknowledged.size === 0) {
+      outgoing.sendsNoAcks = true;
+      outgoing.sent = 0;
       return this.#sendPieces();
     }
-    for (let part = 0; part < sending.sent; part += 1)
-      if (!sending.acknowledged.has(part))
-        commands.push(this.#send(sending.to, sending.pieces[part]!));
+    for (let part = 0; part < outgoing.sent; part += 1)
+      if (!outgoing.acknowledged.has(part))
+        commands.push(this.#send(outgoing.to, outgoing.pieces[part]!));
     return commands;
   }
 
@@ -934,17 +934,17 @@
         at: now,
       };
     }
-    const parts = this.#incomingSnapshot;
-    parts.at = now;
+    const incoming = this.#incomingSnapshot;
+    incoming.at = now;
     const ack: ChainCommand = this.#send(this.#source, {
       kind: "digest-got",
       series: message.series,
       part: message.part,
     });
-    parts.pieces.set(message.part, message.records);
-    if (message.last) parts.last = message.part;
+    incoming.pieces.set(message.part, message.records);
+    if (message.last) incoming.last = message.part;
     this.#lastProgressAt = now;
-    if (parts.last === undefined || parts.pieces.size !== parts.last + 1) return [ack];
+    if (incoming.last === undefined || incoming.pieces.size !== incoming.last + 1) return [ack];
     this.#incomingSnapshot = undefined;
     if (message.place < this.#lastIndex) return [ack];
     if (message.place === 0 && this.#copiedEpoch === message.mark) {
@@ -952,7 +952,8 @@
       return [ack];
     }
     const records: Change[] = [];
-    for (let part = 0; part <= parts.last; part += 1) records.push(...parts.pieces.get(part)!);
+    for (let part = 0; part <= incoming.last; part += 1)
+      records.push(...incoming.pieces.get(part)!);
     this.ledger.clear();
     this.ledger.applyChanges(records);
     this.machine.rebuild(this.ledger);
@@ -1029,7 +1030,7 @@
     return commands;
   }
 
-  /** The complete state as it would be persisted, for tests and snapshots of control state. */
+  /** The complete state in the form that is persisted; used by tests and for snapshots of the control state. */
   persistedState(): PersistedChain | undefined {
     if (this.#view === undefined) return undefined;
     return {
--- a/packages/parts/src/constants.ts
+++ b/packages/parts/src/constants.ts
@@ -87,13 +87,13 @@
   targetMessageBytes: 262_144,
   /** A grant of a dequeued prompt that has not begun by then is given back; keeps cancellation within 3 s. */
   grantDurationMs: 1_000,
-  /** A prompt without a heartbeat for this long is returned to the queue: lots are due in 8 s. */
+  /** A prompt without a heartbeat for this long is returned to the queue: lots are due in 8 s; the paper uses 10 min. */
   orphanTimeoutMs: 4_000,
   /** Interval at which dispatchers forward heartbeats; four fit into the orphan timeout. */
   promptHeartbeatIntervalMs: 1_000,
-  /** Attempts with a runner failure after which an item has failed. */
+  /** Attempts with a runner failure after which an item has failed; the paper uses 3 attempts. */
   maxFailedAttempts: 3,
-  /** Pause of a dispatcher after an EMPTY reply. */
+  /** Pause of a dispatcher after an EMPTY reply; the paper uses 0.1 s. */
   emptyQueuePauseMs: 100,
   /** Pause of a dispatcher when no wait is known; a changed limit ends every pause. */
   maxDispatcherPauseMs: 2_000,
--- a/packages/shell/src/disk.ts
+++ b/packages/shell/src/disk.ts
@@ -128,7 +128,7 @@
     owner: DiskOwner,
     listener: DiskListener,
   ): Promise<Outcome<Disk>> {
-    let pause: number = constants.minDiskRetryMs;
+    let retryDelayMs: number = constants.minDiskRetryMs;
     for (;;) {
       try {
         return await Disk.#tryOpen(folder, owner, listener);
@@ -137,8 +137,8 @@
           return outcome.failure(`${folder}: cannot be opened: ${(error as Error).message}`);
         listener.waiting(error.message);
       }
-      await sleep(pause);
-      pause = Math.min(pause * 2, constants.maxDiskRetryMs);
+      await sleep(retryDelayMs);
+      retryDelayMs = Math.min(retryDelayMs * 2, constants.maxDiskRetryMs);
     }
   }
 
@@ -183,7 +183,7 @@
     }
   }
 
-  /** Whether the disk accepts writes, as far as its last commits show. */
+  /** Whether the disk accepts writes, judged by the most recent commits. */
   get condition(): DiskCondition {
     return this.#queue.condition;
   }
@@ -290,7 +290,7 @@
   const { open } = await import("lmdb");
   return open({
     path: folder,
-    // Overlapping syncs would resolve writes before they are synced to disk.
+    // With overlapping syncs, the promise of a write would resolve before the write is synced to disk.
     overlappingSync: false,
     // The promises of batched turns are not accessible, and an unhandled rejection after a failed commit would end the process.
     eventTurnBatching: false,
