--- a/tools/simulator/src/guards.ts
+++ b/tools/simulator/src/guards.ts
@@ -190,8 +190,8 @@
     cuts: [
       {
         file: pace,
-        from: "granted.set(queue, known);\n        committed += known;",
-        to: "granted.set(queue, Math.min(known, current.target));\n        committed += 0;",
+        from: "granted.set(queue, currentGrant);\n        committed += currentGrant;",
+        to: "granted.set(queue, Math.min(currentGrant, current.target));\n        committed += 0;",
       },
     ],
   },
