--- a/features/deployment.feature
+++ b/features/deployment.feature
@@ -201,4 +201,4 @@
   Scenario: a message from control that answers no heartbeat does not count as contact
     Given a deployment of three machines of each kind whose nodes promise each other
     When messages from nodes to control machines are lost, and messages from control machines arrive
-    Then after 6 s every access node has lost contact with control and keeps its lease by its peers' promises
+    Then after 6 s every access node has lost contact with control and continues by the permit of its peers' promises
--- a/features/steps/silent-nodes.ts
+++ b/features/steps/silent-nodes.ts
@@ -175,6 +175,6 @@
   }
 }
 Then(
-  "after {int} s every access node has lost contact with control and keeps its lease by its peers' promises",
+  "after {int} s every access node has lost contact with control and continues by the permit of its peers' promises",
   nodesKeepLeases,
 );
--- a/packages/data/src/access-core.ts
+++ b/packages/data/src/access-core.ts
@@ -40,13 +40,13 @@
 /** One access node: dispatches events to the parts that handle them. */
 export class AccessCore {
   readonly membership: Membership;
-  /** Chooses the runners of requests on passages (§13.4). */
+  /** Chooses the runners of requests on passages (docs/design.md §13.4). */
   readonly choice: RunnerBalancer;
-  /** Lots (batch jobs) of passages (§13.7). */
+  /** Lots (batch jobs) of passages (docs/design.md §13.7). */
   readonly lots: PassageLots;
-  /** Live requests on passages (§13.5). */
+  /** Live requests on passages (docs/design.md §13.5). */
   readonly relay: RelayCore;
-  /** Counts started requests by usage window and tenant (§14.2). */
+  /** Counts started requests by usage window and tenant (docs/design.md §14.2). */
   readonly usage: AccessUsage;
   readonly counts: AccessCounts = newAccessCounts();
   #nodeIdentity: NodeIdentity;
@@ -189,7 +189,7 @@
     return outputs;
   }
 
-  /** Handles a new live request on a route. `path` is given for GET requests only (§6). */
+  /** Handles a new live request on a route. `path` is given for GET requests only (docs/design.md §6). */
   arrive(
     ticket: string,
     routeName: string,
@@ -236,17 +236,17 @@
       : this.relay.handleAttemptEvent(attempt, event, now);
   }
 
-  /** Handles a runner's announcement of itself (§7.5). */
+  /** Handles a runner's announcement of itself (docs/design.md §7.5). */
   announce(ticket: string, card: Omit<RunnerDescriptor, "age">, now: number): AccessOutput[] {
     return this.#registrations.announce(ticket, card, now);
   }
 
-  /** Handles a runner's deregistration: this incarnation accepts no more work (§7.5). */
+  /** Handles a runner's deregistration: this incarnation accepts no more work (docs/design.md §7.5). */
   deregister(ticket: string, runner: string, incarnation: number, now: number): AccessOutput[] {
     return this.#registrations.deregister(ticket, runner, incarnation, now);
   }
 
-  /** Handles the submission of a lot (a batch job) on a route; its fields are not validated yet (§5). */
+  /** Handles the submission of a lot (a batch job) on a route; its fields are not validated yet (docs/design.md §5). */
   submitLot(
     ticket: string,
     routeName: string,
--- a/packages/data/src/access-service.ts
+++ b/packages/data/src/access-service.ts
@@ -66,7 +66,7 @@
   readonly dialect?: RunnerProtocol;
   /** Protocol adapters for callers, beside the built-in HTTP interface. */
   readonly fronts?: readonly AccessAdapter[];
-  /** Sample messages for a warm-up (§13.9); without them there is none. */
+  /** Sample messages for a warm-up (docs/design.md §13.9); without them there is none. */
   readonly warmUp?: WarmUpSample;
 }
 
@@ -273,7 +273,7 @@
     }
   }
 
-  /** Creates the API for protocol adapters (§13.2). */
+  /** Creates the API for protocol adapters (docs/design.md §13.2). */
   #createApi(): AccessApi {
     const self = this;
     function nextTicket(): string {
--- a/packages/data/src/live-requests.ts
+++ b/packages/data/src/live-requests.ts
@@ -154,7 +154,7 @@
 
   /**
    * Refuses a request that no runner took. It is reported as unserved, which throttles lots, only if runners lacked free slots: a
-   * node that cannot reach its runners knows nothing of their free capacity (§8.5).
+   * node that cannot reach its runners knows nothing of their free capacity (docs/design.md §8.5).
    */
   #giveUp(request: LiveRequest, now: number): AccessOutput[] {
     const { model } = request.route;
--- a/packages/data/src/relay-core.ts
+++ b/packages/data/src/relay-core.ts
@@ -408,7 +408,7 @@
     else this.#balancer.recordFirstOutput(attempt.number, now);
   }
 
-  /** Counts a request once, in the usage window in which a runner first started it (§14.2). */
+  /** Counts a request once, in the usage window in which a runner first started it (docs/design.md §14.2). */
   #countStart(live: RelayedRequest, window: number | undefined): void {
     if (live.isCounted || live.tenant === undefined || window === undefined) return;
     live.isCounted = true;
